--- a/src/net/quorum.rs
+++ b/src/net/quorum.rs
@@ -37,7 +37,7 @@
 use crate::quorum::machine::Event;
 use crate::quorum::queue::Queue;
 use crate::quorum::record::{self, Done, Job};
-use crate::quorum::{Boot, Incarnation, Input, Machine, Out, Setup, VoterId};
+use crate::quorum::{BootTime, Incarnation, Input, Machine, Out, Setup, VoterId};
 use crate::rules::standing::{Standing, Sure};
 
 /// A link that doesn't come up within this has failed.
@@ -48,11 +48,11 @@
 const MOST_CONNECTIONS: usize = 4_096;
 
 /// The clock that runs while the machine sleeps too.
-pub fn boot_now() -> Boot {
+pub fn boot_now() -> BootTime {
     let now = real_now();
     // A trial may have this process's clock run too fast or too slow.
     let rate = faults::figure("clock-rate").unwrap_or(1.0);
-    Boot(if rate == 1.0 { now } else { (now as f64 * rate) as u64 })
+    BootTime(if rate == 1.0 { now } else { (now as f64 * rate) as u64 })
 }
 
 /// One link: what waits on it, and the bells that wake its writer and end it.
--- a/src/node/ruled.rs
+++ b/src/node/ruled.rs
@@ -7,7 +7,7 @@
 use crate::api::*;
 use crate::broker::Input;
 use crate::faults;
-use crate::peers::Boot;
+use crate::peers::BootTime;
 use crate::platform::links::Command;
 use crate::rules::gate::Gate;
 use crate::rules::standing::{Ruling, Standing, Sure};
@@ -17,7 +17,7 @@
 pub(super) struct Ruled {
     standing: Standing,
     gate: Gate,
-    boot: Boot,
+    boot: BootTime,
     /// Barred servers, as the lists have them.
     barred: BTreeMap<ServerId, ServerEntry>,
 }
@@ -29,7 +29,7 @@
     }
 
     /// The moment on the clock by which rules count, as it is now.
-    pub fn set_boot(&mut self, boot: Boot) {
+    pub fn set_boot(&mut self, boot: BootTime) {
         if let Some(ruled) = &mut self.ruled {
             ruled.boot = boot;
         }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -9,16 +9,16 @@
 /// A moment on the clock that runs since the machine started, also while it sleeps; in microseconds. Moments of
 /// two machines can't be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Boot(pub u64);
+pub struct BootTime(pub u64);
 
-impl Boot {
+impl BootTime {
     /// The moment a span later.
-    pub fn after(self, span: Micros) -> Boot {
-        Boot(self.0.saturating_add(span.0))
+    pub fn after(self, span: Micros) -> BootTime {
+        BootTime(self.0.saturating_add(span.0))
     }
 
     /// The span since an earlier moment; zero if that is later.
-    pub fn since(self, earlier: Boot) -> Micros {
+    pub fn since(self, earlier: BootTime) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
 }
--- a/src/quorum/fronts.rs
+++ b/src/quorum/fronts.rs
@@ -5,7 +5,7 @@
 //! for a while, as coming and going would move everybody's turns. While there is no quorum the last view stands.
 
 use super::view::View;
-use super::{Boot, Name};
+use super::{BootTime, Name};
 use crate::api::Micros;
 
 /// What the module is told.
@@ -25,7 +25,7 @@
     /// All that count.
     counted: Vec<Name>,
     /// Since when each of them has been missing from the view.
-    missing: Vec<(Name, Boot)>,
+    missing: Vec<(Name, BootTime)>,
     told: Option<Fronts>,
 }
 
@@ -37,7 +37,7 @@
 
     /// The view as it stands; what the module is to be told anew, if anything. A view without this process tells
     /// nothing: it has not been agreed on yet that it is there.
-    pub fn look(&mut self, now: Boot, view: &View) -> Option<Fronts> {
+    pub fn look(&mut self, now: BootTime, view: &View) -> Option<Fronts> {
         if !view.members.iter().any(|m| m.name == self.own) {
             return None;
         }
@@ -65,7 +65,7 @@
     }
 
     /// When to look again though the view is the same.
-    pub fn next(&self) -> Option<Boot> {
+    pub fn next(&self) -> Option<BootTime> {
         self.missing.iter().map(|(_, at)| at.after(self.settle)).min()
     }
 }
@@ -84,24 +84,24 @@
     fn those_that_come_count_at_once_and_those_that_go_after_a_while() {
         let mut crowd = Crowd::new(Name("b".into()), Micros(100));
         let told = |count, place| Some(Fronts { count, place });
-        assert_eq!(crowd.look(Boot(0), &view(&["a", "c"])), None, "it is not there itself yet");
-        assert_eq!(crowd.look(Boot(1), &view(&["b", "c"])), told(2, 0));
-        assert_eq!(crowd.look(Boot(2), &view(&["a", "b", "c"])), told(3, 1));
-        assert_eq!(crowd.look(Boot(10), &view(&["b", "c"])), None);
-        assert_eq!(crowd.next(), Some(Boot(110)));
-        assert_eq!(crowd.look(Boot(50), &view(&["a", "b", "c"])), None, "it is back");
-        assert_eq!((crowd.look(Boot(60), &view(&["b", "c"])), crowd.next()), (None, Some(Boot(160))));
-        assert_eq!(crowd.look(Boot(160), &view(&["b", "c"])), told(2, 0));
-        assert_eq!((crowd.look(Boot(900), &view(&["b", "c"])), crowd.next()), (None, None));
+        assert_eq!(crowd.look(BootTime(0), &view(&["a", "c"])), None, "it is not there itself yet");
+        assert_eq!(crowd.look(BootTime(1), &view(&["b", "c"])), told(2, 0));
+        assert_eq!(crowd.look(BootTime(2), &view(&["a", "b", "c"])), told(3, 1));
+        assert_eq!(crowd.look(BootTime(10), &view(&["b", "c"])), None);
+        assert_eq!(crowd.next(), Some(BootTime(110)));
+        assert_eq!(crowd.look(BootTime(50), &view(&["a", "b", "c"])), None, "it is back");
+        assert_eq!((crowd.look(BootTime(60), &view(&["b", "c"])), crowd.next()), (None, Some(BootTime(160))));
+        assert_eq!(crowd.look(BootTime(160), &view(&["b", "c"])), told(2, 0));
+        assert_eq!((crowd.look(BootTime(900), &view(&["b", "c"])), crowd.next()), (None, None));
     }
 
     /// A view that is lost, and one that has not heard of this process, leave the last word standing.
     #[test]
     fn without_a_view_of_its_own_nothing_is_told() {
         let mut crowd = Crowd::new(Name("b".into()), Micros(100));
-        crowd.look(Boot(1), &view(&["a", "b"]));
-        assert_eq!(crowd.look(Boot(500), &View::default()), None);
-        assert_eq!(crowd.look(Boot(900), &view(&["a"])), None);
-        assert_eq!(crowd.look(Boot(901), &view(&["a", "b"])), None);
+        crowd.look(BootTime(1), &view(&["a", "b"]));
+        assert_eq!(crowd.look(BootTime(500), &View::default()), None);
+        assert_eq!(crowd.look(BootTime(900), &view(&["a"])), None);
+        assert_eq!(crowd.look(BootTime(901), &view(&["a", "b"])), None);
     }
 }
--- a/src/quorum/holder.rs
+++ b/src/quorum/holder.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use super::frame::Told;
-use super::{Boot, Duty, Epoch, Setup};
+use super::{BootTime, Duty, Epoch, Setup};
 use crate::mutant::{self, Mutant};
 
 /// Beats whose moment of sending is remembered; an answer to an older one is of no use.
@@ -14,17 +14,17 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Permit {
     epoch: Epoch,
-    until: Boot,
+    until: BootTime,
 }
 
 impl Permit {
     /// The epoch that each effect carries, if the permit is still good at this moment.
-    pub fn epoch(&self, now: Boot) -> Option<Epoch> {
+    pub fn epoch(&self, now: BootTime) -> Option<Epoch> {
         (now < self.until).then_some(self.epoch)
     }
 
     /// The same for the look that follows a wait.
-    pub fn still(&self, now: Boot) -> Option<Epoch> {
+    pub fn still(&self, now: BootTime) -> Option<Epoch> {
         let kept = mutant::on(Mutant::NoSecondLook) || mutant::on(Mutant::KeptPermit);
         if kept { Some(self.epoch) } else { self.epoch(now) }
     }
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Held {
     epoch: Epoch,
-    until: Boot,
+    until: BootTime,
 }
 
 /// How a lease was lost or came.
@@ -52,14 +52,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Holder {
     held: BTreeMap<Duty, Held>,
-    sent: VecDeque<(u64, Boot)>,
+    sent: VecDeque<(u64, BootTime)>,
     heard: u64,
     given: BTreeMap<Duty, Epoch>,
 }
 
 impl Holder {
     /// A beat leaves.
-    pub fn sent(&mut self, seq: u64, now: Boot) {
+    pub fn sent(&mut self, seq: u64, now: BootTime) {
         self.sent.push_back((seq, now));
         if self.sent.len() > SENT {
             self.sent.pop_front();
@@ -67,12 +67,12 @@
     }
 
     /// When a beat was sent, if that is remembered.
-    pub fn sent_at(&self, seq: u64) -> Option<Boot> {
+    pub fn sent_at(&self, seq: u64) -> Option<BootTime> {
         self.sent.iter().find(|(known, _)| *known == seq).map(|(_, at)| *at)
     }
 
     /// A beat was answered.
-    pub fn told(&mut self, now: Boot, told: &Told, setup: &Setup) -> Vec<News> {
+    pub fn told(&mut self, now: BootTime, told: &Told, setup: &Setup) -> Vec<News> {
         let mut news = self.expire(now);
         let sent = self.sent_at(told.seq);
         let Some(sent) = sent.filter(|_| told.seq > self.heard) else { return news };
@@ -111,7 +111,7 @@
     }
 
     /// Leases whose time is over are held no longer.
-    pub fn expire(&mut self, now: Boot) -> Vec<News> {
+    pub fn expire(&mut self, now: BootTime) -> Vec<News> {
         if mutant::on(Mutant::KeptPermit) {
             return Vec::new();
         }
@@ -132,7 +132,7 @@
     }
 
     /// The right to act for a duty at this moment.
-    pub fn permit(&self, duty: &Duty, now: Boot) -> Option<Permit> {
+    pub fn permit(&self, duty: &Duty, now: BootTime) -> Option<Permit> {
         let held = self.held.get(duty)?;
         let permit = Permit { epoch: held.epoch, until: held.until };
         (mutant::on(Mutant::KeptPermit) || permit.epoch(now).is_some()).then_some(permit)
@@ -156,7 +156,7 @@
     }
 
     /// When the next lease runs out.
-    pub fn next(&self) -> Option<Boot> {
+    pub fn next(&self) -> Option<BootTime> {
         self.held.values().map(|held| held.until).min()
     }
 }
@@ -208,19 +208,19 @@
     #[test]
     fn a_lease_counts_from_the_sending_of_the_beat_less_the_part_for_drift() {
         let (mut holder, idle) = (Holder::default(), Duty("idle".into()));
-        holder.sent(1, Boot(5000));
+        holder.sent(1, BootTime(5000));
         assert_eq!(
-            holder.told(Boot(5800), &told(1, &[("idle", 4)]), &setup()),
+            holder.told(BootTime(5800), &told(1, &[("idle", 4)]), &setup()),
             [News::Took(idle.clone(), Epoch(4))]
         );
-        let permit = holder.permit(&idle, Boot(5899)).unwrap();
-        assert_eq!(permit.epoch(Boot(5899)), Some(Epoch(4)));
-        assert_eq!(permit.still(Boot(5900)), None, "looked at again after a wait");
-        assert_eq!(holder.permit(&idle, Boot(5900)), None);
+        let permit = holder.permit(&idle, BootTime(5899)).unwrap();
+        assert_eq!(permit.epoch(BootTime(5899)), Some(Epoch(4)));
+        assert_eq!(permit.still(BootTime(5900)), None, "looked at again after a wait");
+        assert_eq!(holder.permit(&idle, BootTime(5900)), None);
         // An answer that comes after the end of what it would give gives nothing.
-        holder.sent(2, Boot(5900));
+        holder.sent(2, BootTime(5900));
         assert_eq!(
-            holder.told(Boot(6800), &told(2, &[("idle", 4)]), &setup()),
+            holder.told(BootTime(6800), &told(2, &[("idle", 4)]), &setup()),
             [News::RanOut(idle, Epoch(4))]
         );
     }
@@ -229,41 +229,44 @@
     fn old_answers_and_other_epochs_change_nothing() {
         let (mut holder, idle) = (Holder::default(), Duty("idle".into()));
         for seq in 1..=3 {
-            holder.sent(seq, Boot(100 * seq));
+            holder.sent(seq, BootTime(100 * seq));
         }
-        holder.told(Boot(310), &told(2, &[("idle", 7)]), &setup());
-        assert!(holder.told(Boot(320), &told(1, &[]), &setup()).is_empty(), "an answer from before");
-        assert!(holder.permit(&idle, Boot(330)).is_some());
-        assert_eq!(holder.told(Boot(340), &told(3, &[]), &setup()), [News::Taken(idle.clone(), Epoch(7))]);
-        holder.sent(4, Boot(400));
-        assert!(holder.told(Boot(410), &told(9, &[("idle", 8)]), &setup()).is_empty(), "no beat of ours");
+        holder.told(BootTime(310), &told(2, &[("idle", 7)]), &setup());
+        assert!(holder.told(BootTime(320), &told(1, &[]), &setup()).is_empty(), "an answer from before");
+        assert!(holder.permit(&idle, BootTime(330)).is_some());
+        assert_eq!(
+            holder.told(BootTime(340), &told(3, &[]), &setup()),
+            [News::Taken(idle.clone(), Epoch(7))]
+        );
+        holder.sent(4, BootTime(400));
+        assert!(holder.told(BootTime(410), &told(9, &[("idle", 8)]), &setup()).is_empty(), "no beat of ours");
     }
 
     /// Seen in a trial: with answers lost and beats heard a duty had no holder for eleven leases.
     #[test]
     fn a_lease_that_ran_out_is_told_as_given_back() {
         let (mut holder, idle) = (Holder::default(), Duty("idle".into()));
-        holder.sent(1, Boot(100));
-        holder.sent(2, Boot(900));
-        holder.told(Boot(110), &told(1, &[("idle", 7)]), &setup());
-        assert_eq!(holder.expire(Boot(1000)), [News::RanOut(idle.clone(), Epoch(7))]);
+        holder.sent(1, BootTime(100));
+        holder.sent(2, BootTime(900));
+        holder.told(BootTime(110), &told(1, &[("idle", 7)]), &setup());
+        assert_eq!(holder.expire(BootTime(1000)), [News::RanOut(idle.clone(), Epoch(7))]);
         assert_eq!(holder.given(), [(idle.clone(), Epoch(7))]);
-        holder.told(Boot(1010), &told(2, &[("idle", 7)]), &setup());
-        assert_eq!(holder.permit(&idle, Boot(1020)), None, "an answer that was on its way");
+        holder.told(BootTime(1010), &told(2, &[("idle", 7)]), &setup());
+        assert_eq!(holder.permit(&idle, BootTime(1020)), None, "an answer that was on its way");
     }
 
     #[test]
     fn what_was_given_back_is_not_taken_up_again() {
         let (mut holder, idle) = (Holder::default(), Duty("idle".into()));
-        holder.sent(1, Boot(100));
-        holder.sent(2, Boot(200));
-        holder.sent(3, Boot(300));
-        holder.told(Boot(110), &told(1, &[("idle", 7)]), &setup());
+        holder.sent(1, BootTime(100));
+        holder.sent(2, BootTime(200));
+        holder.sent(3, BootTime(300));
+        holder.told(BootTime(110), &told(1, &[("idle", 7)]), &setup());
         assert_eq!(holder.give(&idle), Some(Epoch(7)));
-        holder.told(Boot(210), &told(2, &[("idle", 7)]), &setup());
-        assert_eq!(holder.permit(&idle, Boot(220)), None);
+        holder.told(BootTime(210), &told(2, &[("idle", 7)]), &setup());
+        assert_eq!(holder.permit(&idle, BootTime(220)), None);
         assert_eq!(holder.given(), [(idle.clone(), Epoch(7))]);
-        holder.told(Boot(310), &told(3, &[("idle", 9)]), &setup());
-        assert_eq!(holder.permit(&idle, Boot(320)).unwrap().epoch(Boot(320)), Some(Epoch(9)));
+        holder.told(BootTime(310), &told(3, &[("idle", 9)]), &setup());
+        assert_eq!(holder.permit(&idle, BootTime(320)).unwrap().epoch(BootTime(320)), Some(Epoch(9)));
     }
 }
--- a/src/quorum/ledger.rs
+++ b/src/quorum/ledger.rs
@@ -8,7 +8,7 @@
 use super::council::{Council, Offer};
 use super::frame::{Beat, Counts, Told};
 use super::view::{Fleet, Mate, View};
-use super::{Boot, Duty, Epoch, Name, Process, RECORD, Reign, Setup, VoterId};
+use super::{BootTime, Duty, Epoch, Name, Process, RECORD, Reign, Setup, VoterId};
 use crate::api::Micros;
 use crate::mutant::{self, Mutant};
 use crate::rules::force::Forcing;
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 struct Heard {
     process: Process,
-    at: Boot,
+    at: BootTime,
     via: Via,
     /// Beats since it came, up to what a join needs.
     beats: u32,
@@ -47,13 +47,13 @@
     draining: bool,
     offer: Option<Offer>,
     counts: Counts,
-    progress: BTreeMap<Duty, (Epoch, u64, Boot)>,
+    progress: BTreeMap<Duty, (Epoch, u64, BootTime)>,
 }
 
 #[derive(Clone, Debug)]
 struct Round {
     confirm: Confirm,
-    begun: Boot,
+    begun: BootTime,
     yes: BTreeSet<VoterId>,
     beats: BTreeMap<Process, (Via, Beat)>,
 }
@@ -67,21 +67,21 @@
     majority: usize,
     ballot: u32,
     reign: Reign,
-    began: Boot,
+    began: BootTime,
     heard: BTreeMap<Name, Heard>,
     /// Until when each lease may be counted on by its holder.
-    until: BTreeMap<Duty, (Epoch, Boot)>,
+    until: BTreeMap<Duty, (Epoch, BootTime)>,
     /// Leases whose end was proposed: they are not renewed any more.
     closing: BTreeMap<Duty, (Epoch, Ended)>,
     /// Proposals on their way, and since when.
-    proposed: BTreeMap<String, Boot>,
+    proposed: BTreeMap<String, BootTime>,
     /// Duties that are to be handed on, by whom.
     asked_back: BTreeMap<Duty, Epoch>,
-    passed_over: BTreeMap<Duty, (Name, Boot)>,
+    passed_over: BTreeMap<Duty, (Name, BootTime)>,
     waiting: BTreeMap<Process, (Via, Beat)>,
     round: Option<Round>,
     rounds: u64,
-    confirmed_at: Option<Boot>,
+    confirmed_at: Option<BootTime>,
     /// Who acts on which version of the rules.
     forcing: Forcing,
     /// The number of a version that is on its way into the log: what this leader proposes is lost with its reign only.
@@ -96,7 +96,7 @@
         me: VoterId,
         ballot: u32,
         reign: Reign,
-        now: Boot,
+        now: BootTime,
         book: &Book,
     ) -> Ledger {
         let mut ledger = Ledger {
@@ -134,12 +134,12 @@
     }
 
     /// Whether a majority has confirmed it within a span.
-    pub fn confirmed_within(&self, now: Boot, span: Micros) -> bool {
+    pub fn confirmed_within(&self, now: BootTime, span: Micros) -> bool {
         self.confirmed_at.is_some_and(|at| now.since(at) <= span)
     }
 
     /// A beat has come. Those that a majority must vouch for wait; what can be said at once is given back.
-    pub fn beat(&mut self, now: Boot, via: Via, beat: Beat, book: &Book) -> Option<Told> {
+    pub fn beat(&mut self, now: BootTime, via: Via, beat: Beat, book: &Book) -> Option<Told> {
         let name = &beat.process.name;
         let twin = self.heard.get(name).filter(|h| now.since(h.at) < self.setup.gone);
         if twin.is_some_and(|h| h.process.incarnation > beat.process.incarnation)
@@ -187,7 +187,7 @@
     }
 
     /// The question to the other voters that is due, if one is.
-    pub fn ask(&mut self, now: Boot) -> Option<Confirm> {
+    pub fn ask(&mut self, now: BootTime) -> Option<Confirm> {
         let lost = self.round.as_ref().is_some_and(|r| now.since(r.begun) >= self.setup.election);
         if !lost && (self.waiting.is_empty() || self.round.is_some()) {
             return None;
@@ -203,7 +203,13 @@
     }
 
     /// A voter says that it follows; the answers that a majority now vouches for.
-    pub fn confirmed(&mut self, now: Boot, from: VoterId, confirm: Confirm, book: &Book) -> Vec<(Via, Told)> {
+    pub fn confirmed(
+        &mut self,
+        now: BootTime,
+        from: VoterId,
+        confirm: Confirm,
+        book: &Book,
+    ) -> Vec<(Via, Told)> {
         let Some(round) = self.round.as_mut().filter(|r| r.confirm == confirm) else { return Vec::new() };
         round.yes.insert(from);
         if round.yes.len() < self.majority {
@@ -215,7 +221,7 @@
     }
 
     /// Says what a process holds, and counts from now until when it may count on it.
-    fn answer(&mut self, now: Boot, beat: &Beat, book: &Book) -> Told {
+    fn answer(&mut self, now: BootTime, beat: &Beat, book: &Book) -> Told {
         let mut holds = Vec::new();
         for (duty, lease) in &book.duties {
             let own = lease.holder == beat.process
@@ -254,13 +260,13 @@
     }
 
     /// Whether a holder is heard of, but its duty does not get on.
-    fn stuck(&self, now: Boot, duty: &Duty, epoch: Epoch, holder: &Name) -> bool {
+    fn stuck(&self, now: BootTime, duty: &Duty, epoch: Epoch, holder: &Name) -> bool {
         let progress = self.heard.get(holder).and_then(|h| h.progress.get(duty));
         progress.is_some_and(|(of, _, since)| *of == epoch && now.since(*since) >= self.setup.stuck)
     }
 
     /// What all members tell.
-    pub fn fleet(&self, now: Boot) -> Fleet {
+    pub fn fleet(&self, now: BootTime) -> Fleet {
         let mate = |(name, heard): (&Name, &Heard)| Mate {
             name: name.clone(),
             silent: now.since(heard.at),
@@ -275,23 +281,23 @@
     }
 
     /// How long a lease would last if nothing more were heard of its holder.
-    pub fn left(&self, now: Boot, duty: &Duty) -> Option<Micros> {
+    pub fn left(&self, now: BootTime, duty: &Duty) -> Option<Micros> {
         self.until.get(duty).map(|(_, until)| until.since(now))
     }
 
     /// What a process that would vote offers, if it was heard of just now.
-    pub fn offer(&self, now: Boot, name: &Name) -> Option<Offer> {
+    pub fn offer(&self, now: BootTime, name: &Name) -> Option<Offer> {
         let fresh = Micros(self.setup.beat.0 * FRESH_BEATS);
         self.heard.get(name).filter(|h| now.since(h.at) <= fresh && !h.draining)?.offer
     }
 
     /// How long nothing was heard of a member.
-    pub fn silent(&self, now: Boot, name: &Name) -> Option<Micros> {
+    pub fn silent(&self, now: BootTime, name: &Name) -> Option<Micros> {
         self.heard.get(name).map(|heard| now.since(heard.at))
     }
 
     /// An operator wants a duty handed on. False if nobody holds it.
-    pub fn hand_on(&mut self, now: Boot, duty: &Duty, book: &Book) -> bool {
+    pub fn hand_on(&mut self, now: BootTime, duty: &Duty, book: &Book) -> bool {
         let Some(lease) = book.duties.get(duty) else { return false };
         self.asked_back.insert(duty.clone(), lease.epoch);
         self.passed_over.insert(duty.clone(), (lease.holder.name.clone(), now.after(PASSED_OVER)));
@@ -322,7 +328,7 @@
     }
 
     /// What is to be proposed now.
-    pub fn decide(&mut self, now: Boot, book: &Book) -> Vec<Entry> {
+    pub fn decide(&mut self, now: BootTime, book: &Book) -> Vec<Entry> {
         let mut entries = Vec::new();
         self.ends(now, book, &mut entries);
         self.grants(now, book, &mut entries);
@@ -332,7 +338,7 @@
     }
 
     /// Whether a proposal is due: it was not made before, or came to nothing.
-    fn due(&mut self, now: Boot, what: String) -> bool {
+    fn due(&mut self, now: BootTime, what: String) -> bool {
         let due = self.proposed.get(&what).is_none_or(|at| now.since(*at) >= AGAIN);
         if due {
             self.proposed.insert(what, now);
@@ -340,7 +346,7 @@
         due
     }
 
-    fn ends(&mut self, now: Boot, book: &Book, entries: &mut Vec<Entry>) {
+    fn ends(&mut self, now: BootTime, book: &Book, entries: &mut Vec<Entry>) {
         for (duty, lease) in &book.duties {
             let full = lease.length + self.setup.drift_of(lease.length);
             let known = self.until.entry(duty.clone()).or_insert((lease.epoch, now.after(full)));
@@ -366,7 +372,7 @@
         self.closing.retain(|duty, (epoch, _)| book.duties.get(duty).is_some_and(|l| l.epoch == *epoch));
     }
 
-    fn grants(&mut self, now: Boot, book: &Book, entries: &mut Vec<Entry>) {
+    fn grants(&mut self, now: BootTime, book: &Book, entries: &mut Vec<Entry>) {
         // Whoever leads anew hears of all members first, or the first to beat would have everything.
         if now.since(self.began) < Micros(self.setup.beat.0 * 2) {
             return;
@@ -384,7 +390,7 @@
     }
 
     /// Who gets a duty: weighted rendezvous over those that want it and were heard of just now.
-    fn choose(&self, now: Boot, duty: &Duty, book: &Book) -> Option<Process> {
+    fn choose(&self, now: BootTime, duty: &Duty, book: &Book) -> Option<Process> {
         let fresh = Micros(self.setup.beat.0 * FRESH_BEATS);
         let passed = self.passed_over.get(duty).filter(|(_, until)| now < *until).map(|(name, _)| name);
         let score = |heard: &Heard, weight: u32| {
@@ -403,7 +409,7 @@
         best.map(|(_, _, heard)| heard.process.clone())
     }
 
-    fn members(&mut self, now: Boot, book: &Book, entries: &mut Vec<Entry>) {
+    fn members(&mut self, now: BootTime, book: &Book, entries: &mut Vec<Entry>) {
         let reign = self.reign;
         let there: Vec<Process> = self
             .heard
@@ -427,7 +433,7 @@
     }
 
     /// When something may be due next, if nothing comes in before.
-    pub fn next(&self, book: &Book) -> Option<Boot> {
+    pub fn next(&self, book: &Book) -> Option<BootTime> {
         let open = |duty: &&Duty| !self.closing.contains_key(*duty);
         let ends = self.until.iter().filter(|(duty, _)| open(duty)).map(|(_, (_, until))| *until).min();
         let round = self.round.as_ref().map(|r| r.begun.after(self.setup.election));
--- a/src/quorum/ledger/ruled.rs
+++ b/src/quorum/ledger/ruled.rs
@@ -5,14 +5,14 @@
 use crate::quorum::book::{Book, Entry};
 use crate::quorum::frame::Beat;
 use crate::quorum::view::ActingStatus;
-use crate::quorum::{Boot, Process};
+use crate::quorum::{BootTime, Process};
 use crate::rules::document::Rules;
 use crate::rules::standing::Word;
 use crate::rules::version::{Proposal, Unproposed, Version};
 
 impl Ledger {
     /// What a process is told of the rules: it may go by them for a while from when it asked.
-    pub(super) fn word(&mut self, now: Boot, beat: &Beat, book: &Book) -> Word {
+    pub(super) fn word(&mut self, now: BootTime, beat: &Beat, book: &Book) -> Word {
         // Also while there are no rules: the first ones wait for all that act on none.
         let ruled = &book.rules;
         let (force, accepted, _) = &beat.rules;
@@ -28,7 +28,7 @@
     }
 
     /// Brings the announced version into force, or withdraws it if somebody can't use it.
-    pub(super) fn rules(&mut self, now: Boot, book: &Book, entries: &mut Vec<Entry>) {
+    pub(super) fn rules(&mut self, now: BootTime, book: &Book, entries: &mut Vec<Entry>) {
         let (reign, number) = (self.reign, book.rules.announced());
         let refused =
             self.forcing.refusal(&book.rules).map(|(process, why)| format!("{}: {why}", process.name));
@@ -77,7 +77,7 @@
     }
 
     /// Who acts on what.
-    pub fn acting(&self, now: Boot) -> Vec<ActingStatus> {
+    pub fn acting(&self, now: BootTime) -> Vec<ActingStatus> {
         let one = |(process, told, accepted, left): (&Process, u64, u64, Micros)| ActingStatus {
             name: process.name.clone(),
             incarnation: process.incarnation.0,
--- a/src/quorum/machine.rs
+++ b/src/quorum/machine.rs
@@ -16,7 +16,7 @@
 use super::record::{self, Done, Job, Writer};
 use super::store::Store;
 use super::view::{DutyStatus, Fleet, MemberStatus, Status, View, VoterStatus};
-use super::{Boot, Duty, Epoch, IDLE, Incarnation, Name, Process, RECORD, Setup, VoterId};
+use super::{BootTime, Duty, Epoch, IDLE, Incarnation, Name, Process, RECORD, Setup, VoterId};
 use crate::api::Micros;
 use crate::mutant::{self, Mutant};
 use crate::rules::standing::{Standing, Sure};
@@ -107,7 +107,7 @@
     /// It no longer does, and why.
     Lost(Duty, Epoch, &'static str),
     /// It acts for the duty without effects: the look at the clock that allowed it.
-    Acts(Duty, Epoch, Boot),
+    Acts(Duty, Epoch, BootTime),
     /// The agreed log: a duty was granted or ended.
     Changed(u64, Change),
     /// A connection was refused, by whom and why.
@@ -144,7 +144,7 @@
     /// How far the others' journals are known to reach.
     heard: BTreeMap<VoterId, u64>,
     heard_kept: BTreeMap<VoterId, u64>,
-    look_at: Boot,
+    look_at: BootTime,
     /// Where beats that were passed on came from.
     passed: BTreeMap<Process, Via>,
     /// What waits for the disk before this voter may vote: a roster, or the council that was written last.
@@ -168,8 +168,8 @@
     target: VoterId,
     seq: u64,
     answered: u64,
-    asked_since: Boot,
-    beat_at: Boot,
+    asked_since: BootTime,
+    beat_at: BootTime,
     view: View,
     crowd: Option<Crowd>,
     standing: Standing,
@@ -181,7 +181,7 @@
     draining: bool,
     twin: bool,
     writer: Writer,
-    idle_at: Boot,
+    idle_at: BootTime,
     idle_acts: u64,
 }
 
@@ -191,7 +191,7 @@
         setup: &Setup,
         incarnation: Incarnation,
         journal: Option<Result<Option<Read>, Barred>>,
-        now: Boot,
+        now: BootTime,
         out: &mut Vec<Out>,
     ) -> Machine {
         let process = Process { name: setup.name.clone(), incarnation };
@@ -234,7 +234,7 @@
     }
 
     /// Takes this voter's seat, or a spare's, with what its journal held.
-    fn sit(&mut self, read: Option<Read>, now: Boot, out: &mut Vec<Out>) {
+    fn sit(&mut self, read: Option<Read>, now: BootTime, out: &mut Vec<Out>) {
         let fresh = read.is_none();
         let read = read.unwrap_or_else(|| Read {
             identity: Identity {
@@ -316,7 +316,7 @@
     }
 
     /// Something happens.
-    pub fn handle(&mut self, now: Boot, input: Input, out: &mut Vec<Out>) {
+    pub fn handle(&mut self, now: BootTime, input: Input, out: &mut Vec<Out>) {
         match input {
             Input::Tick => {}
             Input::Up(voter) => {
@@ -367,7 +367,7 @@
     }
 
     /// When [`Input::Tick`] is wanted next.
-    pub fn next(&self) -> Boot {
+    pub fn next(&self) -> BootTime {
         let seat = self.seat.as_ref();
         let led = seat.and_then(|s| s.ledger.as_ref().zip(s.agree.as_ref()));
         let ledger = led.and_then(|(ledger, agree)| ledger.next(agree.book()));
@@ -380,7 +380,7 @@
         let crowd = self.crowd.as_ref().and_then(Crowd::next);
         let other =
             ledger.into_iter().chain(doubt).chain(crowd).chain(acts).chain(look).chain(self.holder.next());
-        other.fold(self.beat_at, Boot::min)
+        other.fold(self.beat_at, BootTime::min)
     }
 
     // ---- What others say.
@@ -405,7 +405,7 @@
     }
 
     /// A frame on a connection that was accepted.
-    fn called(&mut self, now: Boot, conn: u64, frame: Frame, out: &mut Vec<Out>) {
+    fn called(&mut self, now: BootTime, conn: u64, frame: Frame, out: &mut Vec<Out>) {
         let Some(caller) = self.callers.get(&conn) else { return };
         match (frame, caller.voter) {
             (Frame::Hello(hello), _) => self.greeted(conn, hello, out),
@@ -546,7 +546,7 @@
     }
 
     /// A frame on a link to a voter.
-    fn answer(&mut self, now: Boot, voter: VoterId, frame: Frame, out: &mut Vec<Out>) {
+    fn answer(&mut self, now: BootTime, voter: VoterId, frame: Frame, out: &mut Vec<Out>) {
         match frame {
             Frame::Welcome(process, papers) => {
                 if self.council.voter(voter).is_none_or(|v| v.name != process.name) {
@@ -576,7 +576,7 @@
     }
 
     /// Another voter has shown its papers.
-    fn met(&mut self, now: Boot, papers: Papers, out: &mut Vec<Out>) {
+    fn met(&mut self, now: BootTime, papers: Papers, out: &mut Vec<Out>) {
         let Some(seat) = &mut self.seat else { return };
         let voter = papers.voter;
         if seat.me == NOBODY || voter == NOBODY || papers.council != self.council.number {
@@ -648,7 +648,7 @@
     }
 
     /// Does all that is due, and lets out what may leave.
-    fn pump(&mut self, now: Boot, out: &mut Vec<Out>) {
+    fn pump(&mut self, now: BootTime, out: &mut Vec<Out>) {
         self.vote(now, out);
         for news in self.holder.expire(now) {
             self.news(news, out);
@@ -668,7 +668,7 @@
     }
 
     /// The voter's part of [`Machine::pump`].
-    fn vote(&mut self, now: Boot, out: &mut Vec<Out>) {
+    fn vote(&mut self, now: BootTime, out: &mut Vec<Out>) {
         let Some(seat) = &mut self.seat else { return };
         let Some(agree) = &mut seat.agree else { return };
         if now >= seat.look_at {
@@ -721,7 +721,7 @@
     }
 
     /// The log has grown by an entry.
-    fn changed(&mut self, now: Boot, index: u64, change: Change, out: &mut Vec<Out>) {
+    fn changed(&mut self, now: BootTime, index: u64, change: Change, out: &mut Vec<Out>) {
         let Some(seat) = &mut self.seat else { return };
         let Some(agree) = &seat.agree else { return };
         if let Change::Led(voter, ballot, reign) = &change {
@@ -751,7 +751,7 @@
     }
 
     /// A beat is wanted at once: this process's own, or that of one whose beats it passed on.
-    fn nudged(&mut self, now: Boot, process: Process, out: &mut Vec<Out>) {
+    fn nudged(&mut self, now: BootTime, process: Process, out: &mut Vec<Out>) {
         if process == self.process {
             self.beat_at = now;
             return;
@@ -763,7 +763,7 @@
     }
 
     /// The leader's part.
-    fn lead(&mut self, now: Boot, out: &mut Vec<Out>) {
+    fn lead(&mut self, now: BootTime, out: &mut Vec<Out>) {
         let Some(seat) = &mut self.seat else { return };
         let Some(agree) = &mut seat.agree else { return };
         let ballot = agree.leads();
@@ -792,7 +792,7 @@
     }
 
     /// A voter says that it follows.
-    fn confirmed(&mut self, now: Boot, voter: VoterId, confirm: Confirm, out: &mut Vec<Out>) {
+    fn confirmed(&mut self, now: BootTime, voter: VoterId, confirm: Confirm, out: &mut Vec<Out>) {
         let Some(seat) = &mut self.seat else { return };
         let (Some(agree), Some(ledger)) = (&seat.agree, &mut seat.ledger) else { return };
         if agree.leads() != Some(confirm.ballot) || agree.council() != confirm.council {
@@ -804,7 +804,7 @@
     }
 
     /// A beat has reached this voter.
-    fn beaten(&mut self, now: Boot, via: Via, beat: Beat, passed: bool, out: &mut Vec<Out>) {
+    fn beaten(&mut self, now: BootTime, via: Via, beat: Beat, passed: bool, out: &mut Vec<Out>) {
         let Some(seat) = &mut self.seat else { return };
         let Some(agree) = &seat.agree else { return };
         if let Some(ledger) = &mut seat.ledger {
@@ -823,7 +823,7 @@
         }
     }
 
-    fn reply(&mut self, now: Boot, via: Via, told: Told, out: &mut Vec<Out>) {
+    fn reply(&mut self, now: BootTime, via: Via, told: Told, out: &mut Vec<Out>) {
         match via {
             Via::Own => self.told(now, told, out),
             Via::Conn(conn) => out.push(Out::Reply(conn, Frame::Told(told))),
@@ -841,7 +841,7 @@
         }
     }
 
-    fn beat(&mut self, now: Boot, out: &mut Vec<Out>) {
+    fn beat(&mut self, now: BootTime, out: &mut Vec<Out>) {
         self.beat_at = now.after(self.setup.beat);
         if self.answered == self.seq {
             self.asked_since = now;
@@ -878,7 +878,7 @@
     }
 
     /// A beat was answered: this process's own, or one that it passed on.
-    fn told(&mut self, now: Boot, told: Told, out: &mut Vec<Out>) {
+    fn told(&mut self, now: BootTime, told: Told, out: &mut Vec<Out>) {
         if told.process != self.process {
             let via = self.seat.as_mut().and_then(|s| s.passed.get(&told.process).copied());
             if let Some(via @ Via::Conn(_)) = via {
@@ -940,7 +940,7 @@
     }
 
     /// Acts for the duties that are held, as far as the permit of this very moment allows.
-    fn act(&mut self, now: Boot, out: &mut Vec<Out>) {
+    fn act(&mut self, now: BootTime, out: &mut Vec<Out>) {
         let (idle, record) = (Duty(IDLE.into()), record::duty());
         if now >= self.idle_at
             && let Some(epoch) = self.holder.permit(&idle, now).and_then(|p| p.still(now))
@@ -965,7 +965,7 @@
     }
 
     /// How things stand, as far as this process knows.
-    pub fn status(&self, now: Boot) -> Status {
+    pub fn status(&self, now: BootTime) -> Status {
         let seat = self.seat.as_ref();
         let book = seat.and_then(|s| s.agree.as_ref()).map(Agree::book);
         let ledger = seat.and_then(|s| s.ledger.as_ref());
--- a/src/quorum/machine/ruled.rs
+++ b/src/quorum/machine/ruled.rs
@@ -1,7 +1,7 @@
 //! Commands about rules: documents that are proposed or withdrawn at the leader, and how they stand.
 
 use super::{Machine, Out};
-use crate::quorum::Boot;
+use crate::quorum::BootTime;
 use crate::quorum::view::RulesStatus;
 use crate::rules::version::{Proposal, Unproposed};
 
@@ -18,7 +18,7 @@
     }
 
     /// The rules as an operator sees them.
-    pub(super) fn rules_status(&self, now: Boot) -> RulesStatus {
+    pub(super) fn rules_status(&self, now: BootTime) -> RulesStatus {
         let seat = self.seat.as_ref();
         let ledger = seat.and_then(|s| s.ledger.as_ref());
         RulesStatus {
--- a/src/quorum/machine/succession.rs
+++ b/src/quorum/machine/succession.rs
@@ -6,7 +6,7 @@
 use crate::quorum::founding::{Barred, Founding};
 use crate::quorum::journal::Roster;
 use crate::quorum::store::{State, Store};
-use crate::quorum::{Boot, Name, VoterId};
+use crate::quorum::{BootTime, Name, VoterId};
 
 impl Machine {
     /// What this process offers, if it would vote and does not.
@@ -19,7 +19,7 @@
     /// Proposes another voter in the place of one. What becomes of it shows in the number of the council.
     pub(super) fn replace(
         &mut self,
-        now: Boot,
+        now: BootTime,
         gone: &Name,
         new: &Name,
         out: &mut Vec<Out>,
--- a/src/quorum/mod.rs
+++ b/src/quorum/mod.rs
@@ -33,7 +33,7 @@
 
 use crate::api::Micros;
 use crate::mutant;
-pub use crate::peers::{Boot, Incarnation, Name, Process};
+pub use crate::peers::{BootTime, Incarnation, Name, Process};
 
 pub use machine::{Input, Machine, Out};
 
--- a/src/quorum/record.rs
+++ b/src/quorum/record.rs
@@ -13,7 +13,7 @@
 
 use super::holder::Permit;
 use super::view::{Fleet, View};
-use super::{Boot, Duty, Epoch, Name};
+use super::{BootTime, Duty, Epoch, Name};
 use crate::api::Micros;
 
 /// Time between lines.
@@ -28,7 +28,7 @@
     /// Who writes it.
     pub holder: Name,
     /// When it was begun, on the writer's boot clock in microseconds.
-    pub at: Boot,
+    pub at: BootTime,
     /// How long the files of earlier epochs were.
     pub sealed: BTreeMap<u64, u64>,
 }
@@ -38,7 +38,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Line {
     /// The writer's look at its boot clock, in microseconds.
-    pub at: Boot,
+    pub at: BootTime,
     /// The epoch under which it is written.
     pub epoch: Epoch,
     /// Who writes it.
@@ -113,7 +113,7 @@
     begun: Option<Epoch>,
     /// A write is out: the next waits for it, so that a slow folder brings no queue of old lines.
     out: bool,
-    due: Boot,
+    due: BootTime,
     written: u64,
 }
 
@@ -121,7 +121,7 @@
     /// The next write, if one is due and the permit is good.
     pub fn next(
         &mut self,
-        now: Boot,
+        now: BootTime,
         permit: Permit,
         holder: &Name,
         fleet: &Fleet,
@@ -176,7 +176,7 @@
     }
 
     /// When the next line is due, unless one is out.
-    pub fn due(&self) -> Option<Boot> {
+    pub fn due(&self) -> Option<BootTime> {
         (!self.out).then_some(self.due)
     }
 }
@@ -260,7 +260,7 @@
         let begin = Begin {
             begin: Epoch(epoch),
             holder: Name("a".into()),
-            at: Boot(1),
+            at: BootTime(1),
             sealed: sealed.iter().copied().collect(),
         };
         let mut bytes = serde_json::to_vec(&begin).unwrap();
@@ -270,7 +270,7 @@
 
     fn line(epoch: u64, at: u64) -> Vec<u8> {
         let line = Line {
-            at: Boot(at),
+            at: BootTime(at),
             epoch: Epoch(epoch),
             holder: Name("a".into()),
             version: 1,
--- a/src/rules/standing.rs
+++ b/src/rules/standing.rs
@@ -7,7 +7,7 @@
 use super::version::Version;
 use crate::api::Micros;
 use crate::mutant::{self, Mutant};
-use crate::peers::Boot;
+use crate::peers::BootTime;
 
 /// What a leader tells with its answer to a beat.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -67,7 +67,7 @@
     accepted: Option<Known>,
     refused: Option<(u64, String)>,
     last: u64,
-    until: Option<Boot>,
+    until: Option<BootTime>,
 }
 
 fn read(version: &Version) -> Result<Known, String> {
@@ -95,7 +95,7 @@
 
     /// A beat that was sent at a moment is answered. What is announced is accepted in this very step, before
     /// anything is decided under the freshness that the same answer gives.
-    pub fn told(&mut self, sent: Boot, now: Boot, word: &Word, drift: Micros) {
+    pub fn told(&mut self, sent: BootTime, now: BootTime, word: &Word, drift: Micros) {
         if word.fresh == Micros(0) {
             return;
         }
@@ -131,7 +131,7 @@
     }
 
     /// How sure it is at an instant.
-    pub fn sure(&self, now: Boot) -> Sure {
+    pub fn sure(&self, now: BootTime) -> Sure {
         let force = self.versions().0;
         let fresh = self.until.is_some_and(|until| now < until) || mutant::on(Mutant::FreshForGood);
         match (&self.accepted, self.until) {
@@ -143,12 +143,12 @@
     }
 
     /// When it becomes unsure, if nobody says more.
-    pub fn until(&self) -> Option<Boot> {
+    pub fn until(&self) -> Option<BootTime> {
         self.until
     }
 
     /// What a request is held to at an instant: by the strictest of all limits that cover it.
-    pub fn ruling(&self, now: Boot, tenant: &str, class: &str) -> Ruling {
+    pub fn ruling(&self, now: BootTime, tenant: &str, class: &str) -> Ruling {
         let sure = self.sure(now);
         let mut ruling = Ruling::Free;
         for (known, other) in [(&self.force, &self.accepted), (&self.accepted, &self.force)] {
--- a/src/rules/standing/tests.rs
+++ b/src/rules/standing/tests.rs
@@ -15,7 +15,7 @@
 }
 
 fn per_s(standing: &Standing, now: u64) -> Option<u32> {
-    match standing.ruling(Boot(now), "a", "x") {
+    match standing.ruling(BootTime(now), "a", "x") {
         Ruling::Limit { per_s, .. } => Some(per_s),
         Ruling::Free => Some(u32::MAX),
         Ruling::Refuse(_) => None,
@@ -27,43 +27,48 @@
 #[test]
 fn freshness_counts_from_the_sending_of_the_beat_less_the_part_for_drift() {
     let mut standing = Standing::default();
-    assert_eq!((standing.sure(Boot(5)), per_s(&standing, 5)), (Sure::None, Some(u32::MAX)));
-    standing.told(Boot(10), Boot(60), &word(1, 0, &[version(1, &limit(50, "least_per_s = 7"))]), DRIFT);
-    assert_eq!((standing.sure(Boot(99)), per_s(&standing, 99)), (Sure::Fresh(1), Some(50)));
-    assert_eq!((standing.sure(Boot(100)), per_s(&standing, 100)), (Sure::Unsure(1), Some(7)));
-    assert_eq!(standing.ruling(Boot(99), "b", "x"), Ruling::Free, "another tenant");
-    standing.told(Boot(120), Boot(121), &word(1, 0, &[]), DRIFT);
-    assert_eq!(standing.sure(Boot(209)), Sure::Fresh(1));
+    assert_eq!((standing.sure(BootTime(5)), per_s(&standing, 5)), (Sure::None, Some(u32::MAX)));
+    standing.told(
+        BootTime(10),
+        BootTime(60),
+        &word(1, 0, &[version(1, &limit(50, "least_per_s = 7"))]),
+        DRIFT,
+    );
+    assert_eq!((standing.sure(BootTime(99)), per_s(&standing, 99)), (Sure::Fresh(1), Some(50)));
+    assert_eq!((standing.sure(BootTime(100)), per_s(&standing, 100)), (Sure::Unsure(1), Some(7)));
+    assert_eq!(standing.ruling(BootTime(99), "b", "x"), Ruling::Free, "another tenant");
+    standing.told(BootTime(120), BootTime(121), &word(1, 0, &[]), DRIFT);
+    assert_eq!(standing.sure(BootTime(209)), Sure::Fresh(1));
 }
 
 #[test]
 fn between_two_versions_the_stricter_counts_whichever_that_is() {
     for (old, new) in [(50, 20), (20, 50)] {
         let mut standing = Standing::default();
-        standing.told(Boot(0), Boot(1), &word(1, 0, &[version(1, &limit(old, ""))]), DRIFT);
-        standing.told(Boot(10), Boot(11), &word(1, 2, &[version(2, &limit(new, ""))]), DRIFT);
-        assert_eq!((standing.sure(Boot(12)), per_s(&standing, 12)), (Sure::Between(1, 2), Some(20)));
+        standing.told(BootTime(0), BootTime(1), &word(1, 0, &[version(1, &limit(old, ""))]), DRIFT);
+        standing.told(BootTime(10), BootTime(11), &word(1, 2, &[version(2, &limit(new, ""))]), DRIFT);
+        assert_eq!((standing.sure(BootTime(12)), per_s(&standing, 12)), (Sure::Between(1, 2), Some(20)));
         assert_eq!(standing.says(), (1, 2, None));
         // An answer from before the announcement does not take the acceptance back.
-        standing.told(Boot(12), Boot(13), &word(1, 0, &[]), DRIFT);
-        assert_eq!((standing.sure(Boot(14)), per_s(&standing, 14)), (Sure::Between(1, 2), Some(20)));
-        standing.told(Boot(20), Boot(21), &word(2, 0, &[]), DRIFT);
-        assert_eq!((standing.sure(Boot(22)), per_s(&standing, 22)), (Sure::Fresh(2), Some(new)));
+        standing.told(BootTime(12), BootTime(13), &word(1, 0, &[]), DRIFT);
+        assert_eq!((standing.sure(BootTime(14)), per_s(&standing, 14)), (Sure::Between(1, 2), Some(20)));
+        standing.told(BootTime(20), BootTime(21), &word(2, 0, &[]), DRIFT);
+        assert_eq!((standing.sure(BootTime(22)), per_s(&standing, 22)), (Sure::Fresh(2), Some(new)));
         // A late answer of a deposed leader winds nothing back.
-        standing.told(Boot(21), Boot(23), &word(1, 2, &[]), DRIFT);
-        assert_eq!(standing.sure(Boot(24)), Sure::Fresh(2));
+        standing.told(BootTime(21), BootTime(23), &word(1, 2, &[]), DRIFT);
+        assert_eq!(standing.sure(BootTime(24)), Sure::Fresh(2));
     }
 }
 
 #[test]
 fn a_limit_that_is_new_or_goes_counts_between_the_two() {
     let mut standing = Standing::default();
-    standing.told(Boot(0), Boot(1), &word(1, 2, &[version(1, ""), version(2, &limit(5, ""))]), DRIFT);
+    standing.told(BootTime(0), BootTime(1), &word(1, 2, &[version(1, ""), version(2, &limit(5, ""))]), DRIFT);
     assert_eq!(per_s(&standing, 2), Some(5));
     let mut standing = Standing::default();
-    standing.told(Boot(0), Boot(1), &word(1, 2, &[version(1, &limit(5, "")), version(2, "")]), DRIFT);
+    standing.told(BootTime(0), BootTime(1), &word(1, 2, &[version(1, &limit(5, "")), version(2, "")]), DRIFT);
     assert_eq!(per_s(&standing, 2), Some(5));
-    standing.told(Boot(5), Boot(6), &word(2, 0, &[]), DRIFT);
+    standing.told(BootTime(5), BootTime(6), &word(2, 0, &[]), DRIFT);
     assert_eq!(per_s(&standing, 7), Some(u32::MAX));
 }
 
@@ -71,12 +76,17 @@
 fn what_may_never_be_two_is_refused_between_them_and_when_unsure() {
     let exact = |most| limit(most, "never_two = true");
     let mut standing = Standing::default();
-    standing.told(Boot(0), Boot(1), &word(1, 0, &[version(1, &exact(50))]), DRIFT);
+    standing.told(BootTime(0), BootTime(1), &word(1, 0, &[version(1, &exact(50))]), DRIFT);
     assert_eq!((per_s(&standing, 2), per_s(&standing, 95)), (Some(50), None));
-    standing.told(Boot(100), Boot(101), &word(1, 2, &[version(2, &exact(60))]), DRIFT);
+    standing.told(BootTime(100), BootTime(101), &word(1, 2, &[version(2, &exact(60))]), DRIFT);
     assert_eq!(per_s(&standing, 102), None);
     // The same in both: nothing of it changes.
-    standing.told(Boot(103), Boot(104), &word(2, 3, &[version(3, &(exact(60) + "wait_ms = 9"))]), DRIFT);
+    standing.told(
+        BootTime(103),
+        BootTime(104),
+        &word(2, 3, &[version(3, &(exact(60) + "wait_ms = 9"))]),
+        DRIFT,
+    );
     assert_eq!(per_s(&standing, 105), Some(60));
 }
 
@@ -85,7 +95,7 @@
     for (manner, then) in [("keep", Some(50)), ("strictest", Some(0)), ("refuse", None)] {
         let text = limit(50, &format!("when_unsure = \"{manner}\""));
         let mut standing = Standing::default();
-        standing.told(Boot(0), Boot(1), &word(1, 0, &[version(1, &text)]), DRIFT);
+        standing.told(BootTime(0), BootTime(1), &word(1, 0, &[version(1, &text)]), DRIFT);
         assert_eq!((per_s(&standing, 2), per_s(&standing, 500)), (Some(50), then), "{manner}");
     }
 }
@@ -94,25 +104,25 @@
 fn a_bar_counts_from_the_first_word_of_it_and_until_no_version_says_so() {
     let bar = version(2, "[[server]]\nbarred = \"x\"\n");
     let mut standing = Standing::default();
-    standing.told(Boot(0), Boot(1), &word(1, 2, &[version(1, ""), bar]), DRIFT);
+    standing.told(BootTime(0), BootTime(1), &word(1, 2, &[version(1, ""), bar]), DRIFT);
     assert!(standing.bars("x") && !standing.bars("y"));
-    standing.told(Boot(5), Boot(6), &word(2, 3, &[version(3, "")]), DRIFT);
+    standing.told(BootTime(5), BootTime(6), &word(2, 3, &[version(3, "")]), DRIFT);
     assert!(standing.bars("x"), "the way back needs all");
-    standing.told(Boot(7), Boot(8), &word(3, 0, &[]), DRIFT);
+    standing.told(BootTime(7), BootTime(8), &word(3, 0, &[]), DRIFT);
     assert!(!standing.bars("x"));
 }
 
 #[test]
 fn a_version_that_cannot_be_read_is_refused_and_not_gone_by() {
     let mut standing = Standing::default();
-    standing.told(Boot(0), Boot(1), &word(1, 0, &[version(1, &limit(50, ""))]), DRIFT);
-    standing.told(Boot(5), Boot(6), &word(1, 2, &[version(2, "[[newer]]\n")]), DRIFT);
+    standing.told(BootTime(0), BootTime(1), &word(1, 0, &[version(1, &limit(50, ""))]), DRIFT);
+    standing.told(BootTime(5), BootTime(6), &word(1, 2, &[version(2, "[[newer]]\n")]), DRIFT);
     let (force, accepted, refused) = standing.says();
     assert_eq!((force, accepted, refused.as_ref().map(|r| r.0)), (1, 1, Some(2)));
     assert_eq!(per_s(&standing, 7), Some(50));
-    standing.told(Boot(8), Boot(9), &word(2, 0, &[]), DRIFT);
-    assert_eq!(standing.sure(Boot(10)), Sure::Unsure(1), "it came into force all the same");
+    standing.told(BootTime(8), BootTime(9), &word(2, 0, &[]), DRIFT);
+    assert_eq!(standing.sure(BootTime(10)), Sure::Unsure(1), "it came into force all the same");
     let other = Version { digest: "0".into(), ..version(3, "") };
-    standing.told(Boot(11), Boot(12), &word(2, 3, &[other]), DRIFT);
+    standing.told(BootTime(11), BootTime(12), &word(2, 3, &[other]), DRIFT);
     assert!(standing.says().2.is_some_and(|(_, why)| why.contains("digest")));
 }
--- a/tests/quorum.rs
+++ b/tests/quorum.rs
@@ -13,7 +13,7 @@
 use amberspindle::quorum::journal;
 use amberspindle::quorum::machine::Event;
 use amberspindle::quorum::record::Done;
-use amberspindle::quorum::{Boot, Duty, Incarnation, Input, Machine, Name, Out, Setup, Voter, VoterId};
+use amberspindle::quorum::{BootTime, Duty, Incarnation, Input, Machine, Name, Out, Setup, Voter, VoterId};
 use amberspindle::rules::standing::{Ruling, Standing, Sure};
 use amberspindle::rules::version::{Proposal, Unproposed};
 
@@ -54,7 +54,7 @@
 
 /// All processes, on one clock.
 struct World {
-    now: Boot,
+    now: BootTime,
     machines: BTreeMap<u64, Machine>,
     journals: BTreeMap<u64, Vec<u8>>,
     /// Whom each dials, by the number that it has as a voter.
@@ -75,7 +75,7 @@
 impl World {
     fn new() -> World {
         let mut world = World {
-            now: Boot(1_000_000),
+            now: BootTime(1_000_000),
             machines: BTreeMap::new(),
             journals: BTreeMap::new(),
             dials: BTreeMap::new(),
@@ -219,9 +219,9 @@
 
     /// Lets time go by; links come up by themselves.
     fn pass(&mut self, span: u64) {
-        let until = Boot(self.now.0 + span);
+        let until = BootTime(self.now.0 + span);
         while self.now < until {
-            self.now = Boot(self.now.0 + 10_000);
+            self.now = BootTime(self.now.0 + 10_000);
             for ((from, to), id) in self.dials.clone() {
                 let cut = self.cut.contains(&from) || self.cut.contains(&to);
                 if !cut && self.machines.contains_key(&to) && !self.links.contains_key(&(from, to)) {
--- a/trials/src/measure/log.rs
+++ b/trials/src/measure/log.rs
@@ -11,7 +11,7 @@
 use amberspindle::quorum::council::{Council, Councillor};
 use amberspindle::quorum::journal::{self, Frame};
 use amberspindle::quorum::store::{State, Store};
-use amberspindle::quorum::{Boot, Duty, Epoch, Incarnation, Name, Process, Reign, VoterId};
+use amberspindle::quorum::{BootTime, Duty, Epoch, Incarnation, Name, Process, Reign, VoterId};
 use amberspindle::rules::gate::Gate;
 use amberspindle::rules::standing::{Standing, Word};
 use amberspindle::rules::version::Version;
@@ -195,11 +195,11 @@
         let word =
             Word { force: 1, last: 1, versions: vec![version], fresh: Micros(1 << 40), ..Word::default() };
         let mut standing = Standing::default();
-        standing.told(Boot(1), Boot(2), &word, Micros(0));
+        standing.told(BootTime(1), BootTime(2), &word, Micros(0));
         let (mut gate, times) = (Gate::default(), 1_000_000u64);
         let begun = Instant::now();
         for n in 0..times {
-            let ruling = standing.ruling(Boot(3 + n), "tenant-7", "clip");
+            let ruling = standing.ruling(BootTime(3 + n), "tenant-7", "clip");
             let _ = std::hint::black_box(gate.ask(Micros(n * 1_000), 7, 0, ruling));
         }
         told.push(format!("{limits} limits {} ns", begun.elapsed().as_nanos() as u64 / times));
