--- a/benches/roster.rs
+++ b/benches/roster.rs
@@ -5,7 +5,9 @@
 
 use amberspindle::api::{Micros, ServerEntry, ServerId, ServerState};
 use amberspindle::records::Bounds;
-use amberspindle::roster::{Candidate, Digest, Generation, Listed, Names, News, Plausible, Roster, Verdict};
+use amberspindle::roster::{
+    Candidate, Digest, Generation, ListUpdate, ListedServer, Names, Plausible, Roster, Verdict,
+};
 use amberspindle::watch::judge::{self, Role, Watched};
 use amberspindle::watch::seal::{self, Comment};
 use divan::{AllocProfiler, Bencher};
@@ -28,11 +30,11 @@
     ([10, (n >> 16) as u8, (n >> 8) as u8, n as u8], 9000).into()
 }
 
-fn listed(n: usize, weight: f64) -> Listed {
+fn listed(n: usize, weight: f64) -> ListedServer {
     let mut entry =
         ServerEntry::new(ServerId::new(&format!("box-{n:06}")), ServerState::Ready, (n % 64) as u32);
     entry.weight = weight;
-    Listed::new(entry, address(n))
+    ListedServer::new(entry, address(n))
 }
 
 /// A list in which one server's weight is told apart from the others'.
@@ -81,14 +83,14 @@
 /// The same the plain way: a map built anew and held against the old one.
 #[divan::bench(args = SIZES, sample_count = 20)]
 fn take_plain(bencher: Bencher, size: usize) {
-    let map = |c: Candidate| -> BTreeMap<ServerId, Listed> {
+    let map = |c: Candidate| -> BTreeMap<ServerId, ListedServer> {
         c.servers.into_iter().map(|l| (l.entry.id.clone(), l)).collect()
     };
     let old = map(candidate(size, 1));
     let next = candidate(size, 2);
     bencher.with_inputs(|| next.clone()).bench_local_values(|next| {
         let new = map(next);
-        let changed: Vec<Listed> =
+        let changed: Vec<ListedServer> =
             new.iter().filter(|(id, l)| old.get(*id) != Some(*l)).map(|(_, l)| l.clone()).collect();
         assert_eq!(changed.len() + old.keys().filter(|id| !new.contains_key(*id)).count(), 1);
         (new, changed)
@@ -102,7 +104,7 @@
     use amberspindle::roster::Source;
     let roster = roster(size);
     bencher.with_inputs(|| roster.clone()).bench_local_values(|mut roster| {
-        let news = News { kind: ListKind::Changes, servers: vec![listed(size / 2, 7.0)] };
+        let news = ListUpdate { kind: ListKind::Changes, servers: vec![listed(size / 2, 7.0)] };
         let verdict = roster.hear(Micros(1), Source::Registry, news);
         assert!(matches!(verdict, Verdict::Taken(_)));
         roster
@@ -112,9 +114,12 @@
 /// Servers in the generations that are kept.
 const KEPT: usize = 10_000;
 
-fn changed(generation: usize) -> News {
+fn changed(generation: usize) -> ListUpdate {
     use amberspindle::api::ListKind;
-    News { kind: ListKind::Changes, servers: vec![listed(generation * 37 % KEPT, 7.0 + generation as f64)] }
+    ListUpdate {
+        kind: ListKind::Changes,
+        servers: vec![listed(generation * 37 % KEPT, 7.0 + generation as f64)],
+    }
 }
 
 /// Bytes that the first generation holds: see the column `max alloc`.
@@ -122,7 +127,7 @@
 fn bytes_of_the_first_generation(bencher: Bencher) {
     let lines = candidate(KEPT, 1).servers;
     bencher.with_inputs(|| ()).bench_local_values(|()| {
-        let map: imbl::OrdMap<ServerId, Listed> =
+        let map: imbl::OrdMap<ServerId, ListedServer> =
             lines.iter().map(|l| (l.entry.id.clone(), l.clone())).collect();
         map
     });
@@ -147,7 +152,7 @@
 /// The same nine in plain maps.
 #[divan::bench(sample_count = 10, sample_size = 1)]
 fn bytes_of_nine_more_plain(bencher: Bencher) {
-    let first: BTreeMap<ServerId, Listed> =
+    let first: BTreeMap<ServerId, ListedServer> =
         candidate(KEPT, 1).servers.into_iter().map(|l| (l.entry.id.clone(), l)).collect();
     bencher.with_inputs(|| ()).bench_local_values(|()| {
         let mut kept = vec![first.clone()];
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -13,7 +13,7 @@
 use amberspindle::message::{Kind, cause};
 use amberspindle::node::{Front, Node};
 use amberspindle::platform::links::{Closed, Command, ConnId};
-use amberspindle::roster::{Listed, News};
+use amberspindle::roster::{ListUpdate, ListedServer};
 use serde_json::{Value, json};
 
 use crate::boxes::{Health, Held, MediaBox, delivered, uplink};
@@ -85,7 +85,7 @@
     /// Something goes wrong.
     Fault(Fault),
     /// A broker hears of a change of the list.
-    News(usize, u32, Vec<Listed>),
+    News(usize, u32, Vec<ListedServer>),
 }
 
 struct Slot {
@@ -221,7 +221,7 @@
             Due::Sample => self.sample(),
             Due::Fault(fault) => self.fault(fault),
             Due::News(broker, start, servers) if self.slots[broker].start == start => {
-                self.hear(broker, News { kind: ListKind::Changes, servers });
+                self.hear(broker, ListUpdate { kind: ListKind::Changes, servers });
             }
             Due::Dialled(..)
             | Due::Unanswered(_)
--- a/lab/src/world/brokers.rs
+++ b/lab/src/world/brokers.rs
@@ -8,7 +8,7 @@
         Slot { node, start, viewers: None, alarm: Micros::MAX, text: Vec::new() }
     }
 
-    pub(super) fn listed(&self, of: usize) -> Listed {
+    pub(super) fn listed(&self, of: usize) -> ListedServer {
         let at = &self.boxes[of];
         let state = match at.health {
             Health::Draining => ServerState::Draining,
@@ -18,16 +18,16 @@
         let id = ServerId::new(&self.plan.name(of, at.start));
         let mut entry = ServerEntry::new(id, state, self.plan.cell(of));
         entry.up_since = at.started;
-        Listed::new(entry, self.plan.address(of))
+        ListedServer::new(entry, self.plan.address(of))
     }
 
     pub(super) fn whole_list(&mut self, broker: usize) {
         let servers = (0..self.boxes.len()).filter(|i| self.boxes[*i].health != Health::Dead);
-        let servers: Vec<Listed> = servers.map(|i| self.listed(i)).collect();
-        self.hear(broker, News { kind: ListKind::Complete, servers });
+        let servers: Vec<ListedServer> = servers.map(|i| self.listed(i)).collect();
+        self.hear(broker, ListUpdate { kind: ListKind::Complete, servers });
     }
 
-    pub(super) fn hear(&mut self, broker: usize, news: News) {
+    pub(super) fn hear(&mut self, broker: usize, news: ListUpdate) {
         let now = self.queue.now();
         for listed in &news.servers {
             let ready = listed.entry.state == ServerState::Ready;
@@ -37,7 +37,7 @@
     }
 
     /// Brokers hear of a box late, each at its own time.
-    pub(super) fn tell_list(&mut self, servers: &[Listed]) {
+    pub(super) fn tell_list(&mut self, servers: &[ListedServer]) {
         for broker in 0..self.slots.len() {
             let late = Micros((self.plan.notice.0 as f64 * (0.5 + 0.5 * self.viewers.chance())) as u64);
             self.queue.after(late, Due::News(broker, self.slots[broker].start, servers.to_vec()));
--- a/src/board.rs
+++ b/src/board.rs
@@ -10,7 +10,7 @@
 
 use crate::api::{ListKind, Micros, ServerEntry, ServerId, ServerState};
 use crate::http::{HttpError, client, sse};
-use crate::roster::{Listed, Names, News};
+use crate::roster::{ListUpdate, ListedServer, Names};
 use patience::Patience;
 
 /// A comment comes each second: a board that says nothing for so long is asked anew.
@@ -72,7 +72,7 @@
 
 impl Board {
     /// Takes in the events of the start.
-    pub fn new(names: Names, known: &Value) -> (Board, Vec<News>) {
+    pub fn new(names: Names, known: &Value) -> (Board, Vec<ListUpdate>) {
         let mut board = Board { names, last: 0, troubled: 0, stream: None, patience: Patience::default() };
         let news = board.take(known, true);
         board.last = known.get("rev").and_then(Value::as_u64).unwrap_or(board.last);
@@ -81,11 +81,11 @@
 
     /// Takes in the events of a new configuration, but for those that were heard before: the list is never wound
     /// back. Behind one that is missing the board itself is asked.
-    pub fn known(&mut self, known: &Value) -> Vec<News> {
+    pub fn known(&mut self, known: &Value) -> Vec<ListUpdate> {
         self.take(known, false)
     }
 
-    fn take(&mut self, known: &Value, anyway: bool) -> Vec<News> {
+    fn take(&mut self, known: &Value, anyway: bool) -> Vec<ListUpdate> {
         let notices = known.get("notices").and_then(Value::as_array);
         let read = |n: &Value| self.notice(n, None, anyway).ok().flatten();
         notices.into_iter().flatten().filter_map(read).collect()
@@ -112,7 +112,7 @@
 
     /// Takes bytes of the connection in and hands over what is new, also before an error, which ends the
     /// connection: the board is then asked again from the last event that was read.
-    pub fn bytes(&mut self, now: Micros, bytes: &[u8], news: &mut Vec<News>) -> Result<(), BoardError> {
+    pub fn bytes(&mut self, now: Micros, bytes: &[u8], news: &mut Vec<ListUpdate>) -> Result<(), BoardError> {
         let Some(stream) = &mut self.stream else { return Ok(()) };
         let mut whole = Vec::new();
         let read = stream.feed(bytes, &mut whole);
@@ -139,7 +139,7 @@
         value: &Value,
         number: Option<u64>,
         anyway: bool,
-    ) -> Result<Option<News>, BoardError> {
+    ) -> Result<Option<ListUpdate>, BoardError> {
         let number = number.or_else(|| value.get("rev").and_then(Value::as_u64));
         let Some(number) = number else { return if anyway { Ok(None) } else { Err(BoardError::Unreadable) } };
         if number <= self.last {
@@ -148,7 +148,7 @@
         let pool = value.get("pool").unwrap_or(value);
         let all = pool.get("all").and_then(Value::as_bool).unwrap_or(false);
         let targets = pool.get("targets").and_then(Value::as_array);
-        let servers: Option<Vec<Listed>> =
+        let servers: Option<Vec<ListedServer>> =
             targets.and_then(|targets| targets.iter().map(|t| listed(t, &self.names)).collect());
         let servers = match servers {
             Some(servers) => servers,
@@ -164,12 +164,12 @@
             return Ok(None);
         }
         let kind = if all { ListKind::Complete } else { ListKind::Changes };
-        Ok(Some(News { kind, servers }))
+        Ok(Some(ListUpdate { kind, servers }))
     }
 }
 
 /// Reads one line, if it can be read.
-pub fn listed(target: &Value, names: &Names) -> Option<Listed> {
+pub fn listed(target: &Value, names: &Names) -> Option<ListedServer> {
     let text = |key: &str| target.get(key).and_then(Value::as_str);
     let number = |key: &str| target.get(key).and_then(Value::as_f64).filter(|x| x.is_finite());
     let index = |list: &[String], key: &str| text(key).and_then(|name| Names::index(list, name)).unwrap_or(0);
@@ -188,5 +188,5 @@
     // Nothing is sent to one that is gone, wherever it was.
     let nowhere = (state == ServerState::Gone).then_some((Ipv4Addr::UNSPECIFIED, 0).into());
     let address = text("endpoint").and_then(|endpoint| endpoint.parse().ok()).or(nowhere)?;
-    Some(Listed::new(entry, address))
+    Some(ListedServer::new(entry, address))
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -14,7 +14,7 @@
     Bounds, EurekaRecord, Finding, Findings, HookRecord, OperatorFile, QuorumRecord, Source, TitleRecord,
     WatchRecord, WhipRecord,
 };
-use crate::roster::{Listed, Names, Plausible};
+use crate::roster::{ListedServer, Names, Plausible};
 use crate::watch;
 use crate::watch::judge::{self, Role, Watched};
 use crate::whip::{self, Title};
@@ -58,7 +58,7 @@
     /// The notice board's list at the start.
     pub known: Value,
     /// A fixed list of servers.
-    pub servers: Vec<Listed>,
+    pub servers: Vec<ListedServer>,
     /// What lists of servers and titles may hold.
     pub bounds: Bounds,
     /// Files that are watched, if any are.
--- a/src/eureka.rs
+++ b/src/eureka.rs
@@ -8,7 +8,7 @@
 
 use crate::api::{ListKind, Micros, ServerEntry, ServerId, ServerState, Text};
 use crate::http::{client, uri};
-use crate::roster::{Listed, Names, News, Paths};
+use crate::roster::{ListUpdate, ListedServer, Names, Paths};
 
 /// How a broker takes part in a registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Instance {
     status: String,
-    listed: Option<Listed>,
+    listed: Option<ListedServer>,
 }
 
 impl Eureka {
@@ -128,7 +128,7 @@
     }
 
     /// Takes a call's result in; gives what it tells of the list. Whatever fails, the list that is held stays.
-    pub fn replied(&mut self, now: Micros, call: Call, reply: Reply<'_>) -> Option<News> {
+    pub fn replied(&mut self, now: Micros, call: Call, reply: Reply<'_>) -> Option<ListUpdate> {
         let status = reply.map(|r| r.0);
         let good = status.is_some_and(|s| (200..300).contains(&s));
         match call {
@@ -169,7 +169,7 @@
         }
     }
 
-    fn full(&mut self, applications: &Value) -> News {
+    fn full(&mut self, applications: &Value) -> ListUpdate {
         let mut known = BTreeMap::new();
         for (app, value) in instances(applications) {
             if let Some((id, instance)) = self.instance(app, value) {
@@ -178,10 +178,10 @@
         }
         let servers = known.values().filter_map(|i| i.listed.clone()).collect();
         self.known = Some(known);
-        News { kind: ListKind::Complete, servers }
+        ListUpdate { kind: ListKind::Complete, servers }
     }
 
-    fn delta(&mut self, now: Micros, applications: &Value) -> Option<News> {
+    fn delta(&mut self, now: Micros, applications: &Value) -> Option<ListUpdate> {
         let mut known = self.known.take()?;
         let mut servers = Vec::new();
         for (app, value) in instances(applications) {
@@ -203,7 +203,7 @@
         } else {
             self.known = Some(known);
         }
-        if servers.is_empty() { None } else { Some(News { kind: ListKind::Changes, servers }) }
+        if servers.is_empty() { None } else { Some(ListUpdate { kind: ListKind::Changes, servers }) }
     }
 
     fn instance(&self, app: &str, value: &Value) -> Option<(String, Instance)> {
@@ -215,7 +215,7 @@
         Some((id.to_owned(), Instance { status: status.to_owned(), listed }))
     }
 
-    fn listed(&self, id: &str, status: &str, value: &Value) -> Option<Listed> {
+    fn listed(&self, id: &str, status: &str, value: &Value) -> Option<ListedServer> {
         let number =
             |v: Option<&Value>| v.and_then(|v| v.as_f64().or_else(|| v.as_str()?.trim().parse().ok()));
         let metadata = |key: &str| value.get("metadata").and_then(|m| m.get(key));
@@ -241,7 +241,7 @@
             |key: &str| metadata(key).and_then(Value::as_str).filter(|p| uri::is_path(p)).map(Text::from);
         let paths =
             path("whep").map(|set_up| Paths { set_up, end: path("whep_end"), events: path("whep_events") });
-        Some(Listed { entry, address: SocketAddr::new(host, port), paths })
+        Some(ListedServer { entry, address: SocketAddr::new(host, port), paths })
     }
 }
 
--- a/src/net/files.rs
+++ b/src/net/files.rs
@@ -19,7 +19,7 @@
 use crate::config::{self, Config};
 use crate::disk::{self, Folder};
 use crate::records::Bounds;
-use crate::roster::{News, Source, Taken, Verdict};
+use crate::roster::{ListUpdate, Source, Taken, Verdict};
 use crate::watch::judge::{self, Lists, Role};
 use crate::watch::seal;
 use crate::watch::state::{Kept, Store};
@@ -71,7 +71,7 @@
 }
 
 /// A source with a list of its own has spoken.
-pub(super) fn hear(shared: &Handle, source: Source, news: News) {
+pub(super) fn hear(shared: &Handle, source: Source, news: ListUpdate) {
     let verdict = shared.roster.borrow_mut().hear(shared.now(), source, news);
     match verdict {
         Verdict::Taken(taken) => announce(shared, taken),
@@ -257,7 +257,7 @@
             changed: 0,
             removed: 0,
             digest: roster.current().digest,
-            news: News { kind: ListKind::Changes, servers: Vec::new() },
+            news: ListUpdate { kind: ListKind::Changes, servers: Vec::new() },
         });
     }
 
--- a/src/net/run.rs
+++ b/src/net/run.rs
@@ -28,7 +28,7 @@
 use crate::quorum::Incarnation;
 use crate::quorum::fronts::Fronts;
 use crate::records::Findings;
-use crate::roster::{News, Source};
+use crate::roster::{ListUpdate, Source};
 use crate::rules::standing::Standing;
 
 /// Time between counts that the quorum is told.
@@ -70,7 +70,11 @@
 }
 
 /// Begins to hear of servers from all sources that the configuration names.
-fn hear_of_servers(shared: &Handle, config: &Config, known: Vec<News>) -> Option<Rc<RefCell<files::Files>>> {
+fn hear_of_servers(
+    shared: &Handle,
+    config: &Config,
+    known: Vec<ListUpdate>,
+) -> Option<Rc<RefCell<files::Files>>> {
     let watched = config.watch.clone().map(|setup| files::start(shared, config, setup));
     if config.board.is_some() || config.eureka.is_some() || watched.is_some() {
         step(shared, |node, now, _| node.awaits_list(now));
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -14,11 +14,11 @@
 use crate::config::Config;
 use crate::operate::settings::missing;
 use crate::records::Findings;
-use crate::roster::{Listed, News, Source};
+use crate::roster::{ListUpdate, ListedServer, Source};
 
 /// A fixed list, as a whole.
-pub(super) fn whole(servers: Vec<Listed>) -> News {
-    News { kind: ListKind::Complete, servers }
+pub(super) fn whole(servers: Vec<ListedServer>) -> ListUpdate {
+    ListUpdate { kind: ListKind::Complete, servers }
 }
 
 /// Takes a new configuration in; one that can't work is logged, and the old one stays.
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -7,7 +7,7 @@
 use crate::broker::{Input, SetUp};
 use crate::edge::Told;
 use crate::platform::links::{Command, Heard, Withdrawal, status};
-use crate::roster::News;
+use crate::roster::ListUpdate;
 
 impl Node {
     /// Tells of the connections to a server that are among fresh commands.
@@ -49,7 +49,7 @@
     }
 
     /// News of the list of servers.
-    pub fn news(&mut self, now: Micros, news: News, out: &mut Vec<Command>) {
+    pub fn news(&mut self, now: Micros, news: ListUpdate, out: &mut Vec<Command>) {
         if !news.servers.is_empty() {
             self.phase.listed();
         }
--- a/src/roster/listed.rs
+++ b/src/roster/listed.rs
@@ -49,7 +49,7 @@
 
 /// A line of the list with its address.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedServer {
     /// What the module is told.
     pub entry: ServerEntry,
     /// Where it listens.
@@ -69,18 +69,18 @@
     pub events: Option<Text>,
 }
 
-impl Listed {
+impl ListedServer {
     /// A server that speaks the platform's messages.
-    pub fn new(entry: ServerEntry, address: SocketAddr) -> Listed {
-        Listed { entry, address, paths: None }
+    pub fn new(entry: ServerEntry, address: SocketAddr) -> ListedServer {
+        ListedServer { entry, address, paths: None }
     }
 }
 
 /// A change of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct ListUpdate {
     /// All of it, or what has changed.
     pub kind: ListKind,
     /// The lines.
-    pub servers: Vec<Listed>,
+    pub servers: Vec<ListedServer>,
 }
--- a/src/roster/mod.rs
+++ b/src/roster/mod.rs
@@ -1,6 +1,6 @@
 //! The list of servers, as numbered generations. Whatever source tells of the list, its word passes through here:
 //! the roster decides whose word counts, whether a candidate is newer and plausible, and what stays, and gives the
-//! node exactly one [`News`] for each generation. It knows no file, no socket and no clock.
+//! node exactly one [`ListUpdate`] for each generation. It knows no file, no socket and no clock.
 //!
 //! The lines lie in a persistent map: a generation shares with the one before it all that did not change, so a
 //! snapshot for the disk costs nothing, and nobody sees a list that is half of one generation and half of another.
@@ -13,7 +13,7 @@
 
 use imbl::OrdMap;
 
-pub use listed::{Listed, Names, News, Paths};
+pub use listed::{ListUpdate, ListedServer, Names, Paths};
 
 use crate::api::{ListKind, Micros, ServerId, ServerState};
 
@@ -72,7 +72,7 @@
     /// The number that its writer gave it, if any.
     pub revision: Option<u64>,
     /// Its lines. `up_since` is none where the file does not tell: see [`Roster::offer`].
-    pub servers: Vec<Listed>,
+    pub servers: Vec<ListedServer>,
 }
 
 /// When a candidate must not be taken at once.
@@ -96,7 +96,7 @@
     /// The number that its writer gave it.
     pub revision: Option<u64>,
     /// The lines, those that are leaving included.
-    pub servers: OrdMap<ServerId, Listed>,
+    pub servers: OrdMap<ServerId, ListedServer>,
 }
 
 /// What a generation changed.
@@ -117,7 +117,7 @@
     /// Of the content, where it came from files.
     pub digest: Option<Digest>,
     /// What the node is told.
-    pub news: News,
+    pub news: ListUpdate,
 }
 
 /// What became of a candidate.
@@ -199,7 +199,7 @@
     ///
     /// Lines are taken as they are; the source has left out what can't be used. An absent line of a whole list is
     /// gone, as those sources mean it.
-    pub fn hear(&mut self, now: Micros, source: Source, news: News) -> Verdict {
+    pub fn hear(&mut self, now: Micros, source: Source, news: ListUpdate) -> Verdict {
         if let Some(owner) = self.outranked(source) {
             return Verdict::Shadowed(owner);
         }
@@ -215,7 +215,7 @@
         if whole {
             let named: BTreeSet<&ServerId> = lines.iter().map(|l| &l.entry.id).collect();
             let absent = self.current.servers.iter().filter(|(id, _)| !named.contains(id));
-            let absent: Vec<Listed> = absent.map(|(_, line)| line.clone()).collect();
+            let absent: Vec<ListedServer> = absent.map(|(_, line)| line.clone()).collect();
             for mut line in absent {
                 // What another source told of may still play: it is not this one's word that it is gone.
                 let state = if taken_over { ServerState::Draining } else { ServerState::Gone };
@@ -231,7 +231,7 @@
     }
 
     /// Takes lines in as one generation.
-    fn apply(&mut self, now: Micros, source: Source, lines: Vec<Listed>, first: bool) -> Verdict {
+    fn apply(&mut self, now: Micros, source: Source, lines: Vec<ListedServer>, first: bool) -> Verdict {
         let mut servers = self.current.servers.clone();
         let (mut added, mut changed, mut removed) = (0, 0, 0);
         let mut told = Vec::new();
@@ -288,7 +288,7 @@
             changed,
             removed,
             digest: self.current.digest,
-            news: News { kind, servers: told },
+            news: ListUpdate { kind, servers: told },
         })
     }
 
@@ -344,7 +344,7 @@
     }
 
     /// Servers that were dropped, that nothing plays at any more, and that are kept no longer: they are gone.
-    pub fn part(&mut self, now: Micros, busy: impl Fn(&ServerId) -> bool) -> Option<News> {
+    pub fn part(&mut self, now: Micros, busy: impl Fn(&ServerId) -> bool) -> Option<ListUpdate> {
         let over: Vec<ServerId> = self
             .leaving
             .iter()
@@ -363,14 +363,14 @@
         for since in self.leaving.values_mut().filter(|since| now >= **since + LEAVING_KEPT) {
             *since = now;
         }
-        if servers.is_empty() { None } else { Some(News { kind: ListKind::Changes, servers }) }
+        if servers.is_empty() { None } else { Some(ListUpdate { kind: ListKind::Changes, servers }) }
     }
 
     /// Takes a list whose lines are in order.
     fn take(&mut self, now: Micros, candidate: Candidate) -> Verdict {
         self.held = None;
         let first = self.current.number == 0;
-        let absent: Vec<Listed> =
+        let absent: Vec<ListedServer> =
             absent(&self.current.servers, &candidate.servers).into_iter().cloned().collect();
         let mut lines = Vec::new();
         if !absent.is_empty() {
@@ -442,7 +442,7 @@
 }
 
 /// Lines of a list that another, in the order of ids, does not name.
-fn absent<'a>(list: &'a OrdMap<ServerId, Listed>, named: &[Listed]) -> Vec<&'a Listed> {
+fn absent<'a>(list: &'a OrdMap<ServerId, ListedServer>, named: &[ListedServer]) -> Vec<&'a ListedServer> {
     let mut named = named.iter().map(|l| &l.entry.id).peekable();
     let mut lacks = |id: &ServerId| {
         while named.next_if(|other| *other < id).is_some() {}
--- a/src/roster/tests.rs
+++ b/src/roster/tests.rs
@@ -7,18 +7,18 @@
     Micros(1_000_000_000 + seconds * 1_000_000)
 }
 
-fn line(id: &str, port: u16) -> Listed {
+fn line(id: &str, port: u16) -> ListedServer {
     let entry = ServerEntry::new(ServerId::new(id), ServerState::Ready, 0);
-    Listed::new(entry, ([127, 0, 0, 1], port).into())
+    ListedServer::new(entry, ([127, 0, 0, 1], port).into())
 }
 
-fn with(mut listed: Listed, state: ServerState) -> Listed {
+fn with(mut listed: ListedServer, state: ServerState) -> ListedServer {
     listed.entry.state = state;
     listed
 }
 
 /// A candidate whose digest is its number.
-fn candidate(number: u8, servers: Vec<Listed>) -> Candidate {
+fn candidate(number: u8, servers: Vec<ListedServer>) -> Candidate {
     Candidate { digest: Digest([number; 32]), revision: None, servers }
 }
 
@@ -29,20 +29,20 @@
     }
 }
 
-fn states(news: &News) -> Vec<(&str, ServerState)> {
+fn states(news: &ListUpdate) -> Vec<(&str, ServerState)> {
     news.servers.iter().map(|l| (&*l.entry.id.0, l.entry.state)).collect()
 }
 
 /// A roster that took these at 0 s.
-fn roster(servers: Vec<Listed>) -> Roster {
+fn roster(servers: Vec<ListedServer>) -> Roster {
     let mut roster = Roster::new(PLAUSIBLE);
     let first = taken(roster.offer(s(0), candidate(1, servers)));
     assert_eq!((first.generation, first.news.kind), (1, ListKind::Complete));
     roster
 }
 
-fn whole(servers: Vec<Listed>) -> News {
-    News { kind: ListKind::Complete, servers }
+fn whole(servers: Vec<ListedServer>) -> ListUpdate {
+    ListUpdate { kind: ListKind::Complete, servers }
 }
 
 #[test]
@@ -134,7 +134,7 @@
 
 #[test]
 fn a_list_that_drops_too_much_waits_until_it_has_stood() {
-    let all: Vec<Listed> = (1..=4).map(|n| line(&format!("s{n}"), n)).collect();
+    let all: Vec<ListedServer> = (1..=4).map(|n| line(&format!("s{n}"), n)).collect();
     let mut roster = roster(all.clone());
     let half = candidate(2, all[..2].to_vec());
     assert!(matches!(roster.clone().offer(s(1), half), Verdict::Taken(_)), "half is not more than half");
@@ -190,7 +190,7 @@
 fn changes_are_taken_line_by_line_and_told_once() {
     let mut roster = Roster::new(PLAUSIBLE);
     taken(roster.hear(s(0), Source::Board, whole(vec![line("a", 1), line("b", 2)])));
-    let changes = |servers| News { kind: ListKind::Changes, servers };
+    let changes = |servers| ListUpdate { kind: ListKind::Changes, servers };
     let gone = changes(vec![with(line("b", 2), ServerState::Gone), line("a", 1)]);
     let taken = taken(roster.hear(s(1), Source::Board, gone.clone()));
     assert_eq!(states(&taken.news), [("b", ServerState::Gone)]);
@@ -221,13 +221,13 @@
     proptest!(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() },
         |(steps in steps)| {
         let mut roster = Roster::new(PLAUSIBLE);
-        let mut told: BTreeMap<ServerId, Listed> = BTreeMap::new();
+        let mut told: BTreeMap<ServerId, ListedServer> = BTreeMap::new();
         let mut now = 0;
         for (i, (kind, lines, wait)) in steps.into_iter().enumerate() {
             now += wait;
             let state = |n: u8| [ServerState::Ready, ServerState::Draining, ServerState::Gone][n as usize];
             let mut ports = BTreeSet::new();
-            let servers: Vec<Listed> = lines.into_iter()
+            let servers: Vec<ListedServer> = lines.into_iter()
                 .filter(|(_, (port, _))| ports.insert(*port))
                 .map(|(id, (port, st))| with(line(&format!("s{id}"), 1 + port), state(st)))
                 .collect();
@@ -238,7 +238,7 @@
                 },
                 1 => match roster.tick(s(now)) { Some(Verdict::Taken(t)) => Some(t.news), _ => None },
                 2 => roster.part(s(now), |id| id.0.ends_with('3')),
-                _ => match roster.hear(s(now), Source::Fixed, News { kind: ListKind::Changes, servers }) {
+                _ => match roster.hear(s(now), Source::Fixed, ListUpdate { kind: ListKind::Changes, servers }) {
                     Verdict::Taken(t) => Some(t.news),
                     _ => None,
                 },
@@ -257,7 +257,7 @@
                     told.insert(l.entry.id.clone(), l);
                 }
             }
-            let held: BTreeMap<ServerId, Listed> =
+            let held: BTreeMap<ServerId, ListedServer> =
                 roster.current().servers.iter().map(|(id, l)| (id.clone(), l.clone())).collect();
             prop_assert_eq!(&told, &held);
             prop_assert!(roster.leaving.keys().all(|id| held.contains_key(id)));
--- a/src/watch/judge.rs
+++ b/src/watch/judge.rs
@@ -10,7 +10,7 @@
 use crate::records::{
     Bounds, Finding, Findings, ServerRecord, ServersFile, Source, TitleRecord, TitlesFile, WeightsFile,
 };
-use crate::roster::{Candidate, Digest, Listed, Names, Paths};
+use crate::roster::{Candidate, Digest, ListedServer, Names, Paths};
 
 /// What a watched file holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -267,7 +267,7 @@
 }
 
 /// A record as the node takes it.
-pub fn listed(record: &ServerRecord, weight: Option<f64>, names: &Names) -> Listed {
+pub fn listed(record: &ServerRecord, weight: Option<f64>, names: &Names) -> ListedServer {
     let index = |list: &[String], name: &Option<String>| {
         name.as_ref().and_then(|name| Names::index(list, name)).unwrap_or(0)
     };
@@ -285,5 +285,5 @@
     });
     // One that is gone may have no place.
     let address = record.place().unwrap_or((std::net::Ipv4Addr::UNSPECIFIED, 0).into());
-    Listed { entry, address, paths }
+    ListedServer { entry, address, paths }
 }
--- a/tests/board.rs
+++ b/tests/board.rs
@@ -4,7 +4,7 @@
 
 use amberspindle::api::Micros;
 use amberspindle::board::{Board, BoardError};
-use amberspindle::roster::{Names, News};
+use amberspindle::roster::{ListUpdate, Names};
 use serde_json::{Value, json};
 
 /// An event that tells of one server.
@@ -29,7 +29,8 @@
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n";
     let mut news = Vec::new();
     let read = board.bytes(Micros(0), format!("{head}{body}").as_bytes(), &mut news);
-    let named = |n: &News| n.servers.iter().map(|s| s.entry.id.to_string()).collect::<Vec<_>>().join(",");
+    let named =
+        |n: &ListUpdate| n.servers.iter().map(|s| s.entry.id.to_string()).collect::<Vec<_>>().join(",");
     (news.iter().map(named).collect(), read)
 }
 
--- a/tests/cuts.rs
+++ b/tests/cuts.rs
@@ -13,7 +13,7 @@
 use amberspindle::http::server::Decoder;
 use amberspindle::node::{Front, Node};
 use amberspindle::platform::links::{Closed, Command, ConnId};
-use amberspindle::roster::News;
+use amberspindle::roster::ListUpdate;
 use support::{http, settings};
 
 const BOOKINGS: u32 = 420;
@@ -119,7 +119,7 @@
             answered: 0,
         };
         let mut out = Vec::new();
-        let news = News { kind: ListKind::Complete, servers: config.servers.clone() };
+        let news = ListUpdate { kind: ListKind::Complete, servers: config.servers.clone() };
         world.node.news(world.now, news, &mut out);
         world.carry_out(out);
         world
