--- a/benches/roster.rs
+++ b/benches/roster.rs
@@ -6,7 +6,7 @@
 use amberspindle::api::{Micros, ServerEntry, ServerId, ServerState};
 use amberspindle::records::Bounds;
 use amberspindle::roster::{
-    Candidate, Digest, Generation, ListUpdate, ListedServer, Names, Plausible, Roster, Verdict,
+    Candidate, Digest, Generation, ListUpdate, ListedServer, Plausible, Roster, SettingNames, Verdict,
 };
 use amberspindle::watch::judge::{self, Role, Watched};
 use amberspindle::watch::seal::{self, Comment};
@@ -22,7 +22,7 @@
 }
 
 fn bounds() -> Bounds {
-    let names = Names { kinds: vec!["std".into()], ..Names::default() };
+    let names = SettingNames { kinds: vec!["std".into()], ..SettingNames::default() };
     Bounds { names, cells: 64 }
 }
 
--- a/src/board.rs
+++ b/src/board.rs
@@ -10,7 +10,7 @@
 
 use crate::api::{ListKind, Micros, ServerEntry, ServerId, ServerState};
 use crate::http::{HttpError, client, sse};
-use crate::roster::{ListUpdate, ListedServer, Names};
+use crate::roster::{ListUpdate, ListedServer, SettingNames};
 use patience::Patience;
 
 /// A comment comes each second: a board that says nothing for so long is asked anew.
@@ -62,7 +62,7 @@
 /// Follows one board.
 #[derive(Debug)]
 pub struct Board {
-    names: Names,
+    names: SettingNames,
     last: u64,
     /// Askings since an event was taken in that found one missing or broken.
     troubled: u32,
@@ -72,7 +72,7 @@
 
 impl Board {
     /// Takes in the events of the start.
-    pub fn new(names: Names, known: &Value) -> (Board, Vec<ListUpdate>) {
+    pub fn new(names: SettingNames, known: &Value) -> (Board, Vec<ListUpdate>) {
         let mut board = Board { names, last: 0, troubled: 0, stream: None, patience: Patience::default() };
         let news = board.take(known, true);
         board.last = known.get("rev").and_then(Value::as_u64).unwrap_or(board.last);
@@ -169,10 +169,11 @@
 }
 
 /// Reads one line, if it can be read.
-pub fn listed(target: &Value, names: &Names) -> Option<ListedServer> {
+pub fn listed(target: &Value, names: &SettingNames) -> Option<ListedServer> {
     let text = |key: &str| target.get(key).and_then(Value::as_str);
     let number = |key: &str| target.get(key).and_then(Value::as_f64).filter(|x| x.is_finite());
-    let index = |list: &[String], key: &str| text(key).and_then(|name| Names::index(list, name)).unwrap_or(0);
+    let index =
+        |list: &[String], key: &str| text(key).and_then(|name| SettingNames::index(list, name)).unwrap_or(0);
     let state = match text("state")? {
         "in_service" => ServerState::Ready,
         "terminating" => ServerState::Draining,
--- a/src/config.rs
+++ b/src/config.rs
@@ -14,7 +14,7 @@
     Bounds, EurekaRecord, Finding, Findings, HookRecord, OperatorFile, QuorumRecord, Source, TitleRecord,
     WatchRecord, WhipRecord,
 };
-use crate::roster::{ListedServer, Names, Plausible};
+use crate::roster::{ListedServer, Plausible, SettingNames};
 use crate::watch;
 use crate::watch::judge::{self, Role, Watched};
 use crate::whip::{self, Title};
@@ -40,7 +40,7 @@
     /// The module's settings.
     pub settings: Settings,
     /// How the settings name things.
-    pub names: Names,
+    pub names: SettingNames,
     /// Connections to servers that don't come up within this have failed.
     pub connect_timeout: Micros,
     /// Servers close connections that were idle for so long.
@@ -117,7 +117,7 @@
 }
 
 /// A title as the WHIP front takes it.
-pub fn title(record: &TitleRecord, names: &Names) -> (String, Title) {
+pub fn title(record: &TitleRecord, names: &SettingNames) -> (String, Title) {
     let tenant = record.tenant.as_ref().and_then(|t| names.tenant(t)).unwrap_or(0);
     let class = names.class(&record.class).unwrap_or(0);
     (record.name.clone(), Title { home: record.home, copies: record.copies, class, tenant })
@@ -127,7 +127,7 @@
     Micros(told.unwrap_or(or).saturating_mul(1000))
 }
 
-fn whip(record: &WhipRecord, file: &OperatorFile, names: &Names) -> Whip {
+fn whip(record: &WhipRecord, file: &OperatorFile, names: &SettingNames) -> Whip {
     let setup = whip::Setup {
         titles: file.title.iter().map(|title| self::title(title, names)).collect(),
         origin: record.origin.clone().unwrap_or_else(|| "*".to_owned()),
@@ -419,17 +419,17 @@
     }
 }
 
-fn names(settings: &Value) -> Names {
+fn names(settings: &Value) -> SettingNames {
     let list = |key: &str| -> Vec<String> {
         let items = settings.get(key).and_then(Value::as_array).into_iter().flatten();
         let name = |v: &Value| v.as_str().or_else(|| v.get("Name")?.as_str()).unwrap_or("").to_owned();
         items.map(name).collect()
     };
-    Names {
+    SettingNames {
         classes: list("RequestClasses"),
         tenants: list("Tenants"),
         zones: list("Azs"),
         kinds: list("Kinds"),
-        ..Names::default()
+        ..SettingNames::default()
     }
 }
--- a/src/eureka.rs
+++ b/src/eureka.rs
@@ -8,7 +8,7 @@
 
 use crate::api::{ListKind, Micros, ServerEntry, ServerId, ServerState, Text};
 use crate::http::{client, uri};
-use crate::roster::{ListUpdate, ListedServer, Names, Paths};
+use crate::roster::{ListUpdate, ListedServer, Paths, SettingNames};
 
 /// How a broker takes part in a registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub struct Eureka {
     setup: Setup,
-    names: Names,
+    names: SettingNames,
     registered: bool,
     beat_at: Micros,
     fetch_at: Micros,
@@ -81,7 +81,7 @@
 
 impl Eureka {
     /// Knows nothing of the registry yet.
-    pub fn new(setup: Setup, names: Names) -> Eureka {
+    pub fn new(setup: Setup, names: SettingNames) -> Eureka {
         let (beat_at, fetch_at) = (Micros(0), Micros(0));
         Eureka { setup, names, registered: false, beat_at, fetch_at, known: None }
     }
@@ -232,7 +232,7 @@
         let mut entry = ServerEntry::new(ServerId::new(id), state, whole("cell")?);
         entry.zone = whole("zone").unwrap_or(0);
         let kind = metadata("kind").and_then(Value::as_str);
-        entry.kind = kind.and_then(|k| Names::index(&self.names.kinds, k)).unwrap_or(0);
+        entry.kind = kind.and_then(|k| SettingNames::index(&self.names.kinds, k)).unwrap_or(0);
         entry.weight = number(metadata("weight")).filter(|w| w.is_finite() && *w > 0.0).unwrap_or(1.0);
         let up = number(value.get("leaseInfo").and_then(|l| l.get("serviceUpTimestamp")));
         entry.up_since = up.filter(|ms| *ms > 0.0).map(Micros::from_ms);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -25,7 +25,7 @@
 use crate::platform::links::{Command, ConnId, Links};
 use crate::platform::timings::Timings;
 use crate::quorum::frame::Counts;
-use crate::roster::Names;
+use crate::roster::SettingNames;
 use crate::trace::{Event as Traced, Tracer};
 use crate::whip::{self, Title};
 pub use ending::{HeldRequest, Remaining};
@@ -61,7 +61,7 @@
 /// One broker without its sockets.
 pub struct Node {
     broker: Broker,
-    names: Names,
+    names: SettingNames,
     settings: Settings,
     links: Links,
     /// Servers that speak WHIP or WHEP.
--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -8,7 +8,7 @@
 use crate::operate::settings::{Merged, merge};
 use crate::platform::links::Command;
 use crate::platform::timings::Timings;
-use crate::roster::Names;
+use crate::roster::SettingNames;
 use crate::watch::judge::Role;
 
 impl Node {
@@ -33,7 +33,7 @@
     }
 
     /// How the settings in use name things.
-    pub fn names(&self) -> &Names {
+    pub fn names(&self) -> &SettingNames {
         &self.names
     }
 
--- a/src/operate/settings.rs
+++ b/src/operate/settings.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 use crate::api::Settings;
-use crate::roster::Names;
+use crate::roster::SettingNames;
 
 /// Settings with the names that go with them, as they are to be used from now on.
 #[derive(Clone, Debug)]
@@ -14,7 +14,7 @@
     /// The settings; classes and tenants under the numbers of the table.
     pub settings: Settings,
     /// The names.
-    pub names: Names,
+    pub names: SettingNames,
     /// The table's number for each class of the new file.
     pub classes: Vec<usize>,
     /// The table's number for each tenant of the new file.
@@ -65,8 +65,8 @@
 
 /// Joins new settings with those in use. `in_use` says whether anything refers to a class or a tenant.
 pub fn merge(
-    old: (&Settings, &Names),
-    new: (&Settings, &Names),
+    old: (&Settings, &SettingNames),
+    new: (&Settings, &SettingNames),
     class_in_use: impl Fn(usize) -> bool,
     tenant_in_use: impl Fn(usize) -> bool,
 ) -> Merged {
@@ -103,7 +103,7 @@
         named.retired_tenants.contains(&o) && !tenant_in_use(o)
     });
     settings.tenants = put(&had.tenants, &want.tenants, &tenants);
-    let names = Names {
+    let names = SettingNames {
         classes: put(&named.classes, &wanted.classes, &classes),
         tenants: put(&named.tenants, &wanted.tenants, &tenants),
         zones: named.zones.clone(),
@@ -158,20 +158,20 @@
     use super::*;
     use crate::api::{Class, Effect, Micros, Tenant};
 
-    fn of(classes: &[(&str, Effect)], tenants: &[&str]) -> (Settings, Names) {
+    fn of(classes: &[(&str, Effect)], tenants: &[&str]) -> (Settings, SettingNames) {
         let mut settings = Settings::new(vec![1.0], vec![1.0]);
         let class = |(_, effect): &(&str, Effect)| Class::new(Micros(1), Micros(2), *effect);
         settings.classes = classes.iter().map(class).collect();
         settings.tenants = tenants.iter().map(|_| Tenant { quota_per_s: Some(1.0) }).collect();
-        let names = Names {
+        let names = SettingNames {
             classes: classes.iter().map(|(name, _)| (*name).to_owned()).collect(),
             tenants: tenants.iter().map(|t| (*t).to_owned()).collect(),
-            ..Names::default()
+            ..SettingNames::default()
         };
         (settings, names)
     }
 
-    fn merged(old: &(Settings, Names), new: &(Settings, Names), in_use: &[usize]) -> Merged {
+    fn merged(old: &(Settings, SettingNames), new: &(Settings, SettingNames), in_use: &[usize]) -> Merged {
         merge((&old.0, &old.1), (&new.0, &new.1), |n| in_use.contains(&n), |n| in_use.contains(&n))
     }
 
@@ -192,7 +192,7 @@
         assert_eq!(got.tenants, [1, 0]);
         let gone = merged(&(got.settings, got.names), &of(&[("new", Effect::Safe)], &["home"]), &[0]);
         assert_eq!((gone.names.class("paid"), gone.names.class("new")), (Some(0), Some(3)), "on their way");
-        let names = Names { lately: false, ..gone.names };
+        let names = SettingNames { lately: false, ..gone.names };
         assert_eq!((names.class("paid"), names.class("new")), (None, Some(3)));
         assert_eq!(gone.settings.classes.len(), 4);
     }
--- a/src/platform/viewer.rs
+++ b/src/platform/viewer.rs
@@ -3,7 +3,7 @@
 use crate::api::{Micros, Request, Rung, ServerId, SessionId, Settings, Status, Text};
 use crate::message::line::{Decoder, Line};
 use crate::message::{Kind, Malformed, cause};
-use crate::roster::Names;
+use crate::roster::SettingNames;
 
 /// How far what is left of a viewer's time may lie above the deadline of its class: clocks and rounding differ.
 const LEFT_SPARE: Micros = Micros(1_000_000);
@@ -44,7 +44,7 @@
     pub fn next(
         &mut self,
         now: Micros,
-        names: &Names,
+        names: &SettingNames,
         settings: &Settings,
     ) -> Result<Option<Said>, Malformed> {
         while let Some(line) = self.decoder.next_line()? {
@@ -66,7 +66,7 @@
 }
 
 /// Reads a set-up; none if a figure is missing, can't be read, or is beyond what the settings allow.
-fn set_up(line: Line, now: Micros, names: &Names, settings: &Settings) -> Option<Said> {
+fn set_up(line: Line, now: Micros, names: &SettingNames, settings: &Settings) -> Option<Said> {
     let field = |name: &str| line.fields.get(name).map(String::as_str);
     let number = |text: &str| text.trim().parse::<f64>().ok().filter(|x| x.is_finite());
     let class = field("class").and_then(|c| names.class(c))?;
--- a/src/records/lists.rs
+++ b/src/records/lists.rs
@@ -9,7 +9,7 @@
 use super::source::key;
 use super::{Address, EdgeUrl, Findings, Source};
 use crate::api;
-use crate::roster::Names;
+use crate::roster::SettingNames;
 
 /// Longest name of a server or a title: it travels in messages of 16 KiB at most.
 const LONGEST_NAME: usize = 255;
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Bounds {
     /// The names that the settings give.
-    pub names: Names,
+    pub names: SettingNames,
     /// Cells are counted from 0 up to this, which is none any more.
     pub cells: u32,
 }
@@ -38,7 +38,7 @@
 }
 
 fn named(text: &str, what: &str, list: &[String]) -> garde::Result {
-    if Names::index(list, text).is_some() {
+    if SettingNames::index(list, text).is_some() {
         return Ok(());
     }
     let known = if list.is_empty() { "none".to_owned() } else { list.join(", ") };
--- a/src/roster/listed.rs
+++ b/src/roster/listed.rs
@@ -7,7 +7,7 @@
 
 /// Names that the settings give to what the core counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Names {
+pub struct SettingNames {
     /// Classes, in the order of [`crate::api::Settings::classes`].
     pub classes: Vec<String>,
     /// Tenants.
@@ -24,7 +24,7 @@
     pub lately: bool,
 }
 
-impl Names {
+impl SettingNames {
     /// The index of a name, if it is one.
     pub fn index(list: &[String], name: &str) -> Option<usize> {
         list.iter().position(|n| n == name)
@@ -32,12 +32,12 @@
 
     /// The class that requests of this name get.
     pub fn class(&self, name: &str) -> Option<usize> {
-        Names::current(&self.classes, &self.retired, self.lately, name)
+        SettingNames::current(&self.classes, &self.retired, self.lately, name)
     }
 
     /// The tenant of this name.
     pub fn tenant(&self, name: &str) -> Option<usize> {
-        Names::current(&self.tenants, &self.retired_tenants, self.lately, name)
+        SettingNames::current(&self.tenants, &self.retired_tenants, self.lately, name)
     }
 
     fn current(list: &[String], retired: &BTreeSet<usize>, lately: bool, name: &str) -> Option<usize> {
--- a/src/roster/mod.rs
+++ b/src/roster/mod.rs
@@ -13,7 +13,7 @@
 
 use imbl::OrdMap;
 
-pub use listed::{ListUpdate, ListedServer, Names, Paths};
+pub use listed::{ListUpdate, ListedServer, Paths, SettingNames};
 
 use crate::api::{ListKind, Micros, ServerId, ServerState};
 
--- a/src/watch/judge.rs
+++ b/src/watch/judge.rs
@@ -10,7 +10,7 @@
 use crate::records::{
     Bounds, Finding, Findings, ServerRecord, ServersFile, Source, TitleRecord, TitlesFile, WeightsFile,
 };
-use crate::roster::{Candidate, Digest, ListedServer, Names, Paths};
+use crate::roster::{Candidate, Digest, ListedServer, Paths, SettingNames};
 
 /// What a watched file holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -267,9 +267,9 @@
 }
 
 /// A record as the node takes it.
-pub fn listed(record: &ServerRecord, weight: Option<f64>, names: &Names) -> ListedServer {
+pub fn listed(record: &ServerRecord, weight: Option<f64>, names: &SettingNames) -> ListedServer {
     let index = |list: &[String], name: &Option<String>| {
-        name.as_ref().and_then(|name| Names::index(list, name)).unwrap_or(0)
+        name.as_ref().and_then(|name| SettingNames::index(list, name)).unwrap_or(0)
     };
     let mut entry = ServerEntry::new(ServerId::new(&record.id), record.state.into(), record.cell);
     entry.kind = index(&names.kinds, &record.kind);
--- a/src/watch/tests.rs
+++ b/src/watch/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::api::ServerState;
-use crate::roster::Names;
+use crate::roster::SettingNames;
 use seal::Comment;
 use std::path::Path;
 
@@ -14,12 +14,12 @@
     let names = |of: &[&str]| of.iter().map(|s| (*s).to_owned()).collect();
     let (classes, tenants) = (names(&["paid", "clip"]), names(&["home"]));
     Bounds {
-        names: Names {
+        names: SettingNames {
             classes,
             tenants,
             zones: names(&["east", "west"]),
             kinds: names(&["std", "big"]),
-            ..Names::default()
+            ..SettingNames::default()
         },
         cells: 3,
     }
--- a/tests/board.rs
+++ b/tests/board.rs
@@ -4,7 +4,7 @@
 
 use amberspindle::api::Micros;
 use amberspindle::board::{Board, BoardError};
-use amberspindle::roster::{ListUpdate, Names};
+use amberspindle::roster::{ListUpdate, SettingNames};
 use serde_json::{Value, json};
 
 /// An event that tells of one server.
@@ -17,7 +17,7 @@
 /// A board that has heard the first event.
 fn board() -> Board {
     let known = json!({"rev": 1, "notices": [event(1, true, "in_service")]});
-    let (board, news) = Board::new(Names::default(), &known);
+    let (board, news) = Board::new(SettingNames::default(), &known);
     assert_eq!((news.len(), board.last()), (1, 1));
     board
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -9,7 +9,7 @@
 use amberspindle::platform::load_report;
 use amberspindle::platform::timings::Timings;
 use amberspindle::platform::viewer::{Said, Viewer};
-use amberspindle::roster::Names;
+use amberspindle::roster::SettingNames;
 use amberspindle::whip::Route;
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -151,7 +151,7 @@
         let (mut packets, mut viewer, mut requests) =
             (binary::Decoder::default(), Viewer::default(), server::Decoder::default());
         let (mut reader, mut events) = (client::Reader::default(), sse::Decoder::default());
-        let (mut board, _) = Board::new(Names::default(), &serde_json::Value::Null);
+        let (mut board, _) = Board::new(SettingNames::default(), &serde_json::Value::Null);
         board.request(Micros(0), "h");
         let mut links = Links::new(Timings::new(&settings, Micros(1), Micros(1)));
         cut(&bytes, &cuts, |piece| {
@@ -160,7 +160,7 @@
                 assert!(packet.cause().is_none() || packet.value(binary::code::CAUSE).is_some());
             }
             viewer.feed(piece);
-            while let Ok(Some(said)) = viewer.next(Micros(5), &Names::default(), &settings) {
+            while let Ok(Some(said)) = viewer.next(Micros(5), &SettingNames::default(), &settings) {
                 assert!(!matches!(said, Said::SetUp(..)), "no class is known");
             }
             requests.feed(piece);
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -8,7 +8,7 @@
 
 use amberspindle::api::{ListKind, Micros, ServerState};
 use amberspindle::eureka::{Call, Eureka, Own, Setup};
-use amberspindle::roster::Names;
+use amberspindle::roster::SettingNames;
 use serde_json::{Value, json};
 use support::*;
 
@@ -21,7 +21,7 @@
 }
 
 fn registry(register: bool) -> Eureka {
-    let names = Names { kinds: vec!["small".into(), "big".into()], ..Names::default() };
+    let names = SettingNames { kinds: vec!["small".into(), "big".into()], ..SettingNames::default() };
     Eureka::new(setup(register), names)
 }
 
