--- a/lab/src/deployment.rs
+++ b/lab/src/deployment.rs
@@ -192,7 +192,7 @@
     pub fn settings(&self, brokers: u32, boxes: usize, cells: u32) -> Settings {
         let mut set = Settings::new(self.ladder_kb.clone(), self.ladder_worth.clone());
         set.classes = self.classes.iter().map(ClassRecord::class).collect();
-        (set.fronts, set.cells) = (brokers, cells);
+        (set.broker_count, set.cells) = (brokers, cells);
         // Racks are cells modulo their number.
         set.racks = (boxes.div_ceil(self.rack_boxes.max(1)) as u32).min(cells);
         set.tick = ms(10);
--- a/lab/src/plan.rs
+++ b/lab/src/plan.rs
@@ -154,7 +154,7 @@
         );
         let read = Config::read(&json!({"settings": settings, "seed": seed, "name": format!("n{broker}")}));
         let mut config = read.unwrap_or_else(|findings| panic!("the laboratory's configuration: {findings}"));
-        config.settings = Settings { me: broker as u32, ..self.settings.clone() };
+        config.settings = Settings { broker_index: broker as u32, ..self.settings.clone() };
         (config.idle, config.connect_timeout) = (self.settings.idle, Micros(250_000));
         config
     }
--- a/src/broker/input.rs
+++ b/src/broker/input.rs
@@ -14,7 +14,7 @@
         servers: Vec<ServerEntry>,
     },
     /// How many fronts there are, and which of them this one is.
-    Fronts(u32, u32),
+    FleetPosition(u32, u32),
     /// A client asks for a session, with its description.
     Request(Request, Description),
     /// A session that plays at a server already.
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -32,7 +32,7 @@
 use alarms::{Alarm, Alarms};
 use answers::ServerOutcome;
 use late::Late;
-use renewal::{FrontPlace, Told};
+use renewal::{FleetPosition, Told};
 use sessions::SessionTable;
 
 /// The core of one playback broker.
@@ -106,7 +106,7 @@
     fn take_in(&mut self, now: Micros, input: Input, out: &mut Vec<Effect>) {
         match input {
             Input::Servers { kind, servers } => self.servers_listed(kind, servers),
-            Input::Fronts(count, place) => self.fronts_changed(FrontPlace { count, place }),
+            Input::FleetPosition(count, place) => self.fronts_changed(FleetPosition { count, place }),
             Input::Request(request, offer) => self.request(now, request, offer, out),
             Input::Open(request, server) => self.open(request, server, out),
             Input::Left(id) => self.left(id, out),
@@ -134,7 +134,7 @@
         self.events.push_back(Event::Members { kind, servers });
     }
 
-    fn fronts_changed(&mut self, fronts: FrontPlace) {
+    fn fronts_changed(&mut self, fronts: FleetPosition) {
         self.told.fronts = Some(fronts);
         self.events.push_back(fronts.event());
     }
@@ -150,7 +150,7 @@
         self.full_retry_after = settings.max_retry_after;
         self.events.push_back(Event::Settings(settings.clone()));
         // The new settings carry a place among the fronts of their own.
-        self.events.extend(self.told.fronts.map(FrontPlace::event));
+        self.events.extend(self.told.fronts.map(FleetPosition::event));
         self.told.settings = Some(settings);
     }
 
--- a/src/broker/renewal.rs
+++ b/src/broker/renewal.rs
@@ -5,17 +5,17 @@
 
 /// The number of fronts, and which of them this one is.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct FrontPlace {
+pub(super) struct FleetPosition {
     /// How many; not 0.
     pub count: u32,
     /// This one's number, from 0.
     pub place: u32,
 }
 
-impl FrontPlace {
+impl FleetPosition {
     /// The same as the module hears it.
     pub fn event(self) -> Event {
-        Event::Fronts { count: self.count, place: self.place }
+        Event::FleetPosition { count: self.count, place: self.place }
     }
 }
 
@@ -27,7 +27,7 @@
     /// From when on turns at cold servers are this front's.
     pub turns: Option<Micros>,
     /// The place among the fronts.
-    pub fronts: Option<FrontPlace>,
+    pub fronts: Option<FleetPosition>,
     /// By when each request must have its answer, as the process ends.
     pub answer_by: Option<Micros>,
 }
@@ -36,7 +36,7 @@
     fn events(&self) -> impl Iterator<Item = Event> {
         let settings = self.settings.clone().map(Event::Settings);
         let turns = self.turns.map(Event::Turns);
-        let fronts = self.fronts.map(FrontPlace::event);
+        let fronts = self.fronts.map(FleetPosition::event);
         let ends = self.answer_by.map(Event::Ends);
         settings.into_iter().chain(turns).chain(fronts).chain(ends)
     }
--- a/src/module/api/events.rs
+++ b/src/module/api/events.rs
@@ -64,8 +64,9 @@
     Gone(SessionId),
     /// A timer has run down.
     Timer(u64),
-    /// How many fronts there are, and which of them this one is: [`Settings::fronts`] and [`Settings::me`] anew.
-    Fronts {
+    /// How many brokers there are, and which of them this one is:
+    /// [`Settings::broker_count`] and [`Settings::broker_index`] anew.
+    FleetPosition {
         /// How many; not 0.
         count: u32,
         /// Its number, from 0.
--- a/src/module/api/settings.rs
+++ b/src/module/api/settings.rs
@@ -26,9 +26,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Number of fronts.
-    pub fronts: u32,
+    pub broker_count: u32,
     /// This front's number among them.
-    pub me: u32,
+    pub broker_index: u32,
     /// This front's zone.
     pub zone: u32,
     /// Least time between batches.
@@ -99,8 +99,8 @@
     /// Settings with a ladder and mild defaults for the rest; classes are still to be added.
     pub fn new(rung_kb: Vec<f64>, rung_worth: Vec<f64>) -> Settings {
         Settings {
-            fronts: 1,
-            me: 0,
+            broker_count: 1,
+            broker_index: 0,
             zone: 0,
             tick: Micros(1000),
             classes: Vec::new(),
--- a/src/module/brain/choice.rs
+++ b/src/module/brain/choice.rs
@@ -97,7 +97,7 @@
         let places = self.set.kind_streams.get(server.entry.kind).map_or(f64::MAX, |n| f64::from(*n));
         // Others hold as many, as far as the own ones tell: one or two say nothing.
         let own = server.own.len();
-        let crowd = (own * own.min(self.set.fronts as usize)) as f64 / places.max(1.0);
+        let crowd = (own * own.min(self.set.broker_count as usize)) as f64 / places.max(1.0);
         let connected = server.linked(self.book.now, self.set.idle);
         let full = self.full_after(i, kb).max(crowd)
             + luck
--- a/src/module/brain/cold.rs
+++ b/src/module/brain/cold.rs
@@ -24,11 +24,12 @@
         let pace = f64::from(places) / self.set.cold.secs() * self.set.cold_from * self.set.fall_multiple;
         let (fall, now) = (self.set.fall.0, self.book.now.0);
         let turn = Micros::from_secs(1.0 / (pace * COLD_PART).max(1e-3)).0.max(1);
-        let fronts = u64::from(self.set.fronts.max(1));
+        let fronts = u64::from(self.set.broker_count.max(1));
         let long = (turn * fronts / TURN_FRONTS).min(LONG_TURN * fall).max(turn);
         // A window meets the turns that begin within it or within a turn's length before.
         let step = (turn * (fall + long - turn)).div_ceil(fall);
-        let first = (u64::from(self.set.me) + fronts - hash(&server.entry.id) % fronts) % fronts * step;
+        let first =
+            (u64::from(self.set.broker_index) + fronts - hash(&server.entry.id) % fronts) % fronts * step;
         let since = (now + (fronts * step - first)) % (fronts * step);
         let begun = Micros(now.saturating_sub(since));
         since < long
--- a/src/module/brain/mod.rs
+++ b/src/module/brain/mod.rs
@@ -85,7 +85,9 @@
             Event::Gone(id) => self.gone(id),
             Event::Timer(DEADLINE_TIMER) => self.answer_due(out),
             Event::Timer(_) => self.look(out),
-            Event::Fronts { count, place } => (self.set.fronts, self.set.me) = (count.max(1), place),
+            Event::FleetPosition { count, place } => {
+                (self.set.broker_count, self.set.broker_index) = (count.max(1), place)
+            }
             Event::Settings(set) => {
                 self.book.tenants.resize(set.tenants.len(), (0.0, Micros(0)));
                 self.set = *set;
--- a/src/module/brain/room.rs
+++ b/src/module/brain/room.rs
@@ -23,7 +23,7 @@
         match gauge.told {
             Some((full, _)) if self.set.uplink_reported => {
                 // What this front did since, others did alike: as many of them as it made changes.
-                let alike = (1 + gauge.flows.len()).min(self.set.fronts.max(1) as usize);
+                let alike = (1 + gauge.flows.len()).min(self.set.broker_count.max(1) as usize);
                 (full + gauge.drift() * alike as f64).max(0.0)
             }
             _ => self.rack_asked(rack) / self.book.uplinks[rack].kb(self.book.now),
--- a/src/module/brain/shares.rs
+++ b/src/module/brain/shares.rs
@@ -53,7 +53,7 @@
             return 1.0;
         };
         let rate = decayed(*weight, self.book.now - *at) * std::f64::consts::LN_2 / HALF_LIFE_S;
-        let within = (quota / f64::from(self.set.fronts.max(1)) / rate.max(1e-9)).min(1.0);
+        let within = (quota / f64::from(self.set.broker_count.max(1)) / rate.max(1e-9)).min(1.0);
         within + (1.0 - within) * self.set.over_share_worth
     }
 }
--- a/src/net/quorum.rs
+++ b/src/net/quorum.rs
@@ -32,7 +32,7 @@
 use crate::quorum::book::Change;
 use crate::quorum::founding::Barred;
 use crate::quorum::frame::{self, Counts, Frame, Reader};
-use crate::quorum::fronts::Fronts;
+use crate::quorum::fronts::FleetPosition;
 use crate::quorum::journal::{self, Unusable};
 use crate::quorum::machine::Event;
 use crate::quorum::queue::Queue;
@@ -109,7 +109,7 @@
     sent: Cell<(u64, u64)>,
     syncs: Cell<u64>,
     /// Tells the module how many fronts there are.
-    fronts: Box<dyn Fn(Fronts)>,
+    fronts: Box<dyn Fn(FleetPosition)>,
     /// Tells the node what it acts on.
     rules: Box<dyn Fn(Standing)>,
 }
@@ -202,7 +202,7 @@
     executor: &Rc<LocalExecutor<'static>>,
     setup: &Setup,
     incarnation: Incarnation,
-    fronts: Box<dyn Fn(Fronts)>,
+    fronts: Box<dyn Fn(FleetPosition)>,
     rules: Box<dyn Fn(Standing)>,
 ) -> io::Result<Rc<Quorum>> {
     #[cfg(feature = "trials")]
@@ -321,7 +321,7 @@
                         let _ = record.try_send(job);
                     }
                 }
-                Out::Fronts(fronts) => {
+                Out::FleetPosition(fronts) => {
                     info!(event = "quorum.fronts", count = fronts.count, place = fronts.place);
                     (self.fronts)(fronts);
                 }
--- a/src/net/run.rs
+++ b/src/net/run.rs
@@ -26,7 +26,7 @@
 use crate::eureka::Eureka;
 use crate::node::Front;
 use crate::quorum::Incarnation;
-use crate::quorum::fronts::Fronts;
+use crate::quorum::fronts::FleetPosition;
 use crate::records::Findings;
 use crate::roster::{ListUpdate, Source};
 use crate::rules::standing::Standing;
@@ -127,8 +127,8 @@
     let Some(setup) = &config.quorum else { return Ok(None) };
     let incarnation = Incarnation(unix().0);
     let told = shared.clone();
-    let paced = move |fronts: Fronts| {
-        step(&told, |node, now, out| node.fronts(now, fronts.count, fronts.place, out));
+    let paced = move |fronts: FleetPosition| {
+        step(&told, |node, now, out| node.set_fleet_position(now, fronts.count, fronts.place, out));
     };
     let told = shared.clone();
     let ruled = move |standing: Standing| {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -161,8 +161,8 @@
     }
 
     /// How many fronts share the fleet, and which of them this one is.
-    pub fn fronts(&mut self, now: Micros, count: u32, place: u32, out: &mut Vec<Command>) {
-        self.tell(now, Input::Fronts(count, place), out);
+    pub fn set_fleet_position(&mut self, now: Micros, count: u32, place: u32, out: &mut Vec<Command>) {
+        self.tell(now, Input::FleetPosition(count, place), out);
     }
 
     /// Time limits that follow from the settings in use.
--- a/src/quorum/fronts.rs
+++ b/src/quorum/fronts.rs
@@ -10,7 +10,7 @@
 
 /// What the module is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fronts {
+pub struct FleetPosition {
     /// How many there are.
     pub count: u32,
     /// Which of them this one is, from 0, in the order of names.
@@ -26,7 +26,7 @@
     counted: Vec<Name>,
     /// Since when each of them has been missing from the view.
     missing: Vec<(Name, BootTime)>,
-    told: Option<Fronts>,
+    told: Option<FleetPosition>,
 }
 
 impl Crowd {
@@ -37,7 +37,7 @@
 
     /// The view as it stands; what the module is to be told anew, if anything. A view without this process tells
     /// nothing: it has not been agreed on yet that it is there.
-    pub fn look(&mut self, now: BootTime, view: &View) -> Option<Fronts> {
+    pub fn look(&mut self, now: BootTime, view: &View) -> Option<FleetPosition> {
         if !view.members.iter().any(|m| m.name == self.own) {
             return None;
         }
@@ -57,7 +57,7 @@
         self.counted.sort_unstable();
         self.counted.dedup();
         let place = self.counted.iter().position(|name| *name == self.own)? as u32;
-        let fronts = Fronts { count: self.counted.len() as u32, place };
+        let fronts = FleetPosition { count: self.counted.len() as u32, place };
         (self.told != Some(fronts)).then(|| {
             self.told = Some(fronts);
             fronts
@@ -83,7 +83,7 @@
     #[test]
     fn those_that_come_count_at_once_and_those_that_go_after_a_while() {
         let mut crowd = Crowd::new(Name("b".into()), Micros(100));
-        let told = |count, place| Some(Fronts { count, place });
+        let told = |count, place| Some(FleetPosition { count, place });
         assert_eq!(crowd.look(BootTime(0), &view(&["a", "c"])), None, "it is not there itself yet");
         assert_eq!(crowd.look(BootTime(1), &view(&["b", "c"])), told(2, 0));
         assert_eq!(crowd.look(BootTime(2), &view(&["a", "b", "c"])), told(3, 1));
--- a/src/quorum/machine.rs
+++ b/src/quorum/machine.rs
@@ -9,7 +9,7 @@
 use super::council::{Council, NOBODY, Tenure};
 use super::founding::{Barred, Founding, Papers, Step};
 use super::frame::{Beat, Counts, Frame, Hello, NoFrame, Refused, Told};
-use super::fronts::{Crowd, Fronts};
+use super::fronts::{Crowd, FleetPosition};
 use super::holder::{Holder, News};
 use super::journal::{self, Identity, Read};
 use super::ledger::{Ledger, Via};
@@ -82,7 +82,7 @@
     /// A line of the record is to be written.
     Record(Job),
     /// The module is told how many fronts there are.
-    Fronts(Fronts),
+    FleetPosition(FleetPosition),
     /// What this process acts on, from now on.
     Rules(Standing),
     /// Something to tell in the log.
@@ -654,7 +654,7 @@
             self.news(news, out);
         }
         let fronts = self.crowd.as_mut().and_then(|crowd| crowd.look(now, &self.view));
-        out.extend(fronts.map(Out::Fronts));
+        out.extend(fronts.map(Out::FleetPosition));
         let sure = self.standing.sure(now);
         if sure != self.sure {
             self.sure = sure;
--- a/src/wire/settings.rs
+++ b/src/wire/settings.rs
@@ -120,11 +120,11 @@
 
 fn fronts(root: &Conf<'_>, s: &mut Settings) -> Result<(), String> {
     let instances = root.need("Instances")?;
-    s.fronts = instances.whole()?;
-    if s.fronts == 0 {
+    s.broker_count = instances.whole()?;
+    if s.broker_count == 0 {
         return instances.bad("zero");
     }
-    s.me = root.find("SlotNo").map_or(Ok(0), |c| c.whole())?;
+    s.broker_index = root.find("SlotNo").map_or(Ok(0), |c| c.whole())?;
     s.zone = root.find("Locality").map_or(Ok(0), |c| c.whole())?;
     s.tick = root.time_or_zero("Period")?;
     s.over_share_worth = root.number_or("OverShareWorth", 1.0)?;
--- a/tests/quorum.rs
+++ b/tests/quorum.rs
@@ -9,7 +9,7 @@
 use amberspindle::quorum::council::Unreplaced;
 use amberspindle::quorum::founding::Barred;
 use amberspindle::quorum::frame::Frame;
-use amberspindle::quorum::fronts::Fronts;
+use amberspindle::quorum::fronts::FleetPosition;
 use amberspindle::quorum::journal;
 use amberspindle::quorum::machine::Event;
 use amberspindle::quorum::record::Done;
@@ -68,7 +68,7 @@
     /// What each acts on.
     rules: BTreeMap<u64, Standing>,
     /// What the module of each was told last.
-    fronts: BTreeMap<u64, Fronts>,
+    fronts: BTreeMap<u64, FleetPosition>,
     events: Vec<(u64, Event)>,
 }
 
@@ -206,7 +206,7 @@
                     self.travels.push_back(Travels::Wrote(n, number));
                 }
                 Out::Record(job) => self.input(n, Input::Recorded(job.epoch, Done::Written)),
-                Out::Fronts(fronts) => {
+                Out::FleetPosition(fronts) => {
                     self.fronts.insert(n, fronts);
                 }
                 Out::Rules(standing) => {
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -53,13 +53,13 @@
 fn play(draw: Draw) -> Seen {
     let mut rng = fastrand::Rng::with_seed(draw.seed);
     let mut s = settings();
-    (s.fronts, s.kind_streams) = (draw.processes, vec![draw.places]);
+    (s.broker_count, s.kind_streams) = (draw.processes, vec![draw.places]);
     (s.classes[CLIP].aim, s.classes[CLIP].deadline) = (ms(400), ms(1500));
     let started = ms(1_000_000);
     let mut entry = ServerEntry::new(server(0), ServerState::Ready, 0);
     entry.up_since = Some(started);
     let born = |me: u32, seed: u64, at: Micros, s: &Settings| {
-        let mut front = Front::bare(Settings { me, ..s.clone() }, seed);
+        let mut front = Front::bare(Settings { broker_index: me, ..s.clone() }, seed);
         front.now = at;
         front
     };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -125,7 +125,7 @@
 #[test]
 fn a_cold_server_gets_a_fronts_part_of_its_pace() {
     let mut s = settings();
-    s.fronts = 2;
+    s.broker_count = 2;
     let mut f = Front::bare(s, 1);
     let mut entry = ServerEntry::new(server(0), ServerState::Ready, 0);
     entry.up_since = Some(f.now);
--- a/tests/trouble.rs
+++ b/tests/trouble.rs
@@ -148,7 +148,7 @@
 fn a_crowd_spreads_by_places_over_the_titles_holders() {
     let mut s = settings();
     s.kind_streams = vec![6];
-    s.fronts = 2;
+    s.broker_count = 2;
     let mut f = Front::new(s, 3);
     let mut to = std::collections::BTreeMap::<ServerId, usize>::new();
     for id in 0..6 {
@@ -193,7 +193,7 @@
 #[test]
 fn fronts_that_hear_the_same_note_take_their_own_part_of_the_cut() {
     let mut s = settings();
-    s.fronts = 3;
+    s.broker_count = 3;
     let mut kept = Vec::new();
     for seed in 1..4 {
         let mut f = Front::bare(s.clone(), seed);
@@ -259,10 +259,10 @@
 #[test]
 fn many_fronts_together_keep_the_pace_of_a_cold_server() {
     let mut s = settings();
-    (s.fronts, s.classes[CLIP].aim, s.classes[CLIP].deadline) = (100, ms(4000), ms(4000));
+    (s.broker_count, s.classes[CLIP].aim, s.classes[CLIP].deadline) = (100, ms(4000), ms(4000));
     let mut fronts: Vec<Front> = (0..100)
         .map(|me| {
-            let mut f = Front::bare(Settings { me, ..s.clone() }, u64::from(me));
+            let mut f = Front::bare(Settings { broker_index: me, ..s.clone() }, u64::from(me));
             let mut entry = ServerEntry::new(server(0), ServerState::Ready, 0);
             entry.up_since = Some(f.now);
             f.list(vec![entry]);
@@ -289,11 +289,11 @@
 #[test]
 fn thin_traffic_of_many_fronts_uses_a_cold_server_within_its_pace() {
     let mut s = settings();
-    (s.fronts, s.kind_streams) = (100, vec![100]);
+    (s.broker_count, s.kind_streams) = (100, vec![100]);
     let run = |busy: &dyn Fn(u64, u64) -> bool| {
         let mut at: Vec<u64> = Vec::new();
         for me in 0..100 {
-            let mut f = Front::bare(Settings { me: me as u32, ..s.clone() }, me);
+            let mut f = Front::bare(Settings { broker_index: me as u32, ..s.clone() }, me);
             let entry = |n, up| {
                 let mut entry = ServerEntry::new(server(n), ServerState::Ready, n);
                 entry.up_since = up;
@@ -335,10 +335,10 @@
 /// Fronts with one session each at a server cut about what is too much, though each one's part is under a step.
 #[test]
 fn a_hundred_fronts_with_a_session_each_cut_about_enough_together() {
-    let s = Settings { fronts: 100, link_unit_kb: 40_000.0, rack_kb: 400_000.0, ..settings() };
+    let s = Settings { broker_count: 100, link_unit_kb: 40_000.0, rack_kb: 400_000.0, ..settings() };
     let mut left = 0.0;
     for seed in 0..60 {
-        let mut f = Front::bare(Settings { me: seed, ..s.clone() }, u64::from(seed));
+        let mut f = Front::bare(Settings { broker_index: seed, ..s.clone() }, u64::from(seed));
         f.list(vec![ServerEntry::new(server(0), ServerState::Ready, 0)]);
         let request = f.request(1, CLIP, "a");
         f.tell(Event::Open { request, server: server(0) });
@@ -354,10 +354,10 @@
 /// uplinks went from half full to 0.98, and 15% of worth was lost to stalls until sessions might change again.
 #[test]
 fn a_hundred_fronts_that_have_just_started_raise_about_enough_together() {
-    let s = Settings { fronts: 100, link_unit_kb: 40_000.0, rack_kb: 400_000.0, ..settings() };
+    let s = Settings { broker_count: 100, link_unit_kb: 40_000.0, rack_kb: 400_000.0, ..settings() };
     let mut asked = 0.0;
     for seed in 0..100 {
-        let mut f = Front::bare(Settings { me: seed, ..s.clone() }, u64::from(seed));
+        let mut f = Front::bare(Settings { broker_index: seed, ..s.clone() }, u64::from(seed));
         f.list(vec![ServerEntry::new(server(0), ServerState::Ready, 0)]);
         let request = f.request(1, CLIP, "a");
         f.tell(Event::Open { request, server: server(0) });
@@ -374,7 +374,7 @@
 fn fronts_without_figures_spread_recorded_titles_and_gather_live_ones() {
     let chosen = |class: usize| {
         let each = (0..40).map(|me| {
-            let mut f = Front::new(Settings { me, fronts: 40, ..settings() }, 6);
+            let mut f = Front::new(Settings { broker_index: me, broker_count: 40, ..settings() }, 6);
             sends(&f.ask(1000 + u64::from(me), class, "a"))[0].1.clone()
         });
         each.collect::<std::collections::BTreeSet<ServerId>>().len()
@@ -388,7 +388,7 @@
 #[test]
 fn where_connections_cost_sessions_go_to_servers_that_have_one() {
     let used = |handshake_price: f64| {
-        let mut f = Front::new(Settings { fronts: 100, handshake_price, ..settings() }, 6);
+        let mut f = Front::new(Settings { broker_count: 100, handshake_price, ..settings() }, 6);
         let each = (1..=20).map(|id| {
             let to = f.play(id, CLIP, "a");
             f.outcome(id, &to, Status::Completed, true);
@@ -399,7 +399,7 @@
     assert!(used(0.0) > 2);
     assert_eq!(used(0.05), 1);
     // It is not worth a link that fills up.
-    let mut f = Front::new(Settings { fronts: 100, handshake_price: 0.05, ..settings() }, 6);
+    let mut f = Front::new(Settings { broker_count: 100, handshake_price: 0.05, ..settings() }, 6);
     let to = f.play(1, CLIP, "a");
     f.note(1, &to, Note::Link(0.8));
     assert_ne!(f.play(2, CLIP, "a"), to);
