--- a/src/broker/input.rs
+++ b/src/broker/input.rs
@@ -18,11 +18,11 @@
     /// A client asks for a session, with its description.
     Request(Request, Description),
     /// A session that plays at a server already.
-    Open(Request, ServerId),
+    ExistingSession(Request, ServerId),
     /// The client gave the set-up up, or ended its session.
-    Left(SessionId),
+    ClientLeft(SessionId),
     /// A server answered: the session stands there.
-    Stands {
+    Established {
         /// The session.
         id: SessionId,
         /// The server.
@@ -31,7 +31,7 @@
         answer: Description,
     },
     /// A server, or its connection, ended the attempt or the session.
-    Over {
+    Ended {
         /// The session.
         id: SessionId,
         /// The server.
@@ -60,15 +60,15 @@
     /// New settings: each class keeps its number while a session refers to it.
     Settings(Box<Settings>),
     /// A session that stands is held by another process from now on.
-    Passed(SessionId),
+    HandedOver(SessionId),
     /// Turns at cold servers are this front's if they begin then or later; [`Micros::MAX`]: none.
-    Turns(Micros),
+    WarmUpTurnsFrom(Micros),
     /// A server was lost with all that stood there.
-    Lost(ServerId),
+    ServerLost(ServerId),
     /// The process was told to end: by then each request must have its answer.
-    Ends(Micros),
+    ShutdownDeadline(Micros),
     /// The broker ends: what waits is answered, and what stands is released on both sides.
-    End,
+    Shutdown,
     /// Time has passed.
     Tick,
 }
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -108,20 +108,20 @@
             Input::Servers { kind, servers } => self.servers_listed(kind, servers),
             Input::FleetPosition(count, place) => self.fronts_changed(FleetPosition { count, place }),
             Input::Request(request, offer) => self.request(now, request, offer, out),
-            Input::Open(request, server) => self.open(request, server, out),
-            Input::Left(id) => self.left(id, out),
-            Input::Stands { id, server, answer } => self.stood(now, id, server, answer, out),
-            Input::Over { id, server, status, load } => {
+            Input::ExistingSession(request, server) => self.open(request, server, out),
+            Input::ClientLeft(id) => self.left(id, out),
+            Input::Established { id, server, answer } => self.stood(now, id, server, answer, out),
+            Input::Ended { id, server, status, load } => {
                 self.over(now, id, ServerOutcome { server, status, load }, out);
             }
             Input::Withdrawn { id, server } => self.withdrawn(now, id, &server),
             Input::Note { id, server, note } => self.noted(id, server, note),
             Input::Settings(settings) => self.settings_changed(settings),
-            Input::Passed(id) => self.passed(id),
-            Input::Turns(from) => self.turns_changed(from),
-            Input::Ends(at) => self.ends(at),
-            Input::Lost(server) => self.server_lost(now, server, out),
-            Input::End => {
+            Input::HandedOver(id) => self.passed(id),
+            Input::WarmUpTurnsFrom(from) => self.turns_changed(from),
+            Input::ShutdownDeadline(at) => self.ends(at),
+            Input::ServerLost(server) => self.server_lost(now, server, out),
+            Input::Shutdown => {
                 self.answer_all(now, out);
                 self.release_standing(now, out);
             }
--- a/src/node/connections.rs
+++ b/src/node/connections.rs
@@ -108,7 +108,7 @@
             self.homes.retain(|_, home| *home != conn);
             // Nobody waits there any more, and an answer that was not written whole was heard by nobody.
             for id in c.open.iter().chain(unfinished) {
-                self.tell(now, Input::Left(*id), out);
+                self.tell(now, Input::ClientLeft(*id), out);
             }
             return;
         }
@@ -129,7 +129,7 @@
         }
         for (id, status) in over {
             let load = Load::default();
-            self.tell(now, Input::Over { id, server: server.clone(), status, load }, out);
+            self.tell(now, Input::Ended { id, server: server.clone(), status, load }, out);
         }
         if !self.broker.stands_any(&server) {
             return;
@@ -139,7 +139,7 @@
             Server::Up => {}
             Server::Unsure => self.check(now, &server, out),
             Server::TurnsDown if drains => {}
-            Server::TurnsDown | Server::Lost => self.tell(now, Input::Lost(server), out),
+            Server::TurnsDown | Server::Lost => self.tell(now, Input::ServerLost(server), out),
         }
     }
 }
--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -73,7 +73,7 @@
     }
 
     pub(super) fn tell(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
-        if let Input::Left(id) = &input {
+        if let Input::ClientLeft(id) = &input {
             self.figures.left(*id);
         }
         if let Some(tracer) = &mut self.tracer {
@@ -151,7 +151,7 @@
                         // What can't be passed on unchanged is not passed on.
                         self.reply(now, home, id, &Reply::Over(viewer::failed(id)), out);
                         self.forget(id);
-                        self.tell(now, Input::Left(id), out);
+                        self.tell(now, Input::ClientLeft(id), out);
                     }
                 }
             }
--- a/src/node/ending.rs
+++ b/src/node/ending.rs
@@ -36,14 +36,14 @@
 impl Node {
     /// The process ends: by then each request must have its answer.
     pub fn ends_by(&mut self, now: Micros, at: Micros, out: &mut Vec<Command>) {
-        self.tell(now, Input::Ends(at), out);
+        self.tell(now, Input::ShutdownDeadline(at), out);
     }
 
     /// From now on tests fail and no HTTP connection is kept, so that clients go elsewhere. Turns at cold servers are
     /// the next process's, which may have the same number and start at once.
     pub fn stop(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.phase.end();
-        self.tell(now, Input::Turns(Micros::MAX), out);
+        self.tell(now, Input::WarmUpTurnsFrom(Micros::MAX), out);
         if let Some(whip) = &mut self.whip {
             whip.keep(false);
         }
@@ -51,7 +51,7 @@
 
     /// The program ends: nothing may be left standing that nobody holds.
     pub fn end(&mut self, now: Micros, out: &mut Vec<Command>) {
-        self.tell(now, Input::End, out);
+        self.tell(now, Input::Shutdown, out);
         self.let_all_go(out);
     }
 
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -25,7 +25,7 @@
 
     /// It may take turns at cold servers that begin from now on.
     pub fn takes_turns(&mut self, now: Micros, out: &mut Vec<Command>) {
-        self.tell(now, Input::Turns(now), out);
+        self.tell(now, Input::WarmUpTurnsFrom(now), out);
     }
 
     /// Another process serves from now on: no turn at cold servers is taken any more, what stands is passed, and
@@ -33,7 +33,7 @@
     pub fn yields(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.phase.yields();
         self.let_go_at = now;
-        self.tell(now, Input::Turns(Micros::MAX), out);
+        self.tell(now, Input::WarmUpTurnsFrom(Micros::MAX), out);
         let standing: Vec<SessionId> = self.broker.standing_ids();
         for id in standing {
             self.pass(now, id, out);
@@ -47,7 +47,7 @@
         self.phase.resumes();
         self.let_go_at = self.phase.lets_go_from().unwrap_or(Micros::MAX);
         self.passed.clear();
-        self.tell(now, Input::Turns(now), out);
+        self.tell(now, Input::WarmUpTurnsFrom(now), out);
     }
 
     /// Passes a session that stands to the process that serves now.
@@ -63,7 +63,7 @@
         self.messages.push(Message::Session(passed));
         self.passed.insert(id, server);
         self.forget(id);
-        self.tell(now, Input::Passed(id), out);
+        self.tell(now, Input::HandedOver(id), out);
     }
 
     /// Takes a session that another process held.
@@ -76,7 +76,7 @@
             self.links.release(now, id, &server, out);
             return self.carry_out(now, Done::Ended(id, Status::Reset), out);
         };
-        self.tell(now, Input::Open(passed.request(class, tenant), server.clone()), out);
+        self.tell(now, Input::ExistingSession(passed.request(class, tenant), server.clone()), out);
         if let Some(rung) = passed.rung {
             self.tell(now, Input::Note { id, server: server.clone(), note: Note::Rung(Rung(rung)) }, out);
         }
@@ -101,7 +101,7 @@
             Message::Over { id, server, how } => {
                 let (server, status) = (ServerId::new(server), worded_status(how));
                 let load = Load::default();
-                self.tell(now, Input::Over { id: SessionId(*id), server, status, load }, out);
+                self.tell(now, Input::Ended { id: SessionId(*id), server, status, load }, out);
             }
             Message::Noted { id, server, note, figure } => {
                 if let Some(note) = numbered_note(*note, *figure) {
@@ -119,7 +119,7 @@
         let id = SessionId(id);
         if self.broker.knows(id) {
             self.forget(id);
-            self.tell(now, Input::Left(id), out);
+            self.tell(now, Input::ClientLeft(id), out);
         }
     }
 
--- a/src/node/leaving.rs
+++ b/src/node/leaving.rs
@@ -45,7 +45,7 @@
         self.links.withdraw(conn, id, out);
         let Some(server) = carried else { return false };
         let (status, load) = (Status::Moot, Load::default());
-        self.tell(now, Input::Over { id, server, status, load }, out);
+        self.tell(now, Input::Ended { id, server, status, load }, out);
         false
     }
 }
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -44,7 +44,7 @@
         let there = self.links.check(now, server, out);
         self.dialled(now, server, "check", &out[before..]);
         if !there {
-            self.tell(now, Input::Lost(server.clone()), out);
+            self.tell(now, Input::ServerLost(server.clone()), out);
         }
     }
 
@@ -91,7 +91,7 @@
         }
         for server in lost {
             self.pool.lost(now, &server, false, out);
-            self.tell(now, Input::Lost(server), out);
+            self.tell(now, Input::ServerLost(server), out);
         }
         let servers: Vec<ServerEntry> = news.servers.into_iter().map(|l| l.entry).collect();
         let servers = self.allowed(servers);
@@ -108,9 +108,11 @@
     pub(super) fn told(&mut self, now: Micros, told: Vec<Told>, out: &mut Vec<Command>) {
         for told in told {
             match told {
-                Told::Answer(id, server, answer) => self.tell(now, Input::Stands { id, server, answer }, out),
+                Told::Answer(id, server, answer) => {
+                    self.tell(now, Input::Established { id, server, answer }, out)
+                }
                 Told::Over(id, server, status, load) => {
-                    self.tell(now, Input::Over { id, server, status, load }, out);
+                    self.tell(now, Input::Ended { id, server, status, load }, out);
                 }
                 Told::Note(id, server, note) => self.tell(now, Input::Note { id, server, note }, out),
                 Told::Refused(server) => {
@@ -118,7 +120,7 @@
                     let ready = self.servers.get(&server).is_some_and(|(s, _)| *s == ServerState::Ready);
                     if ready && self.broker.stands_any(&server) {
                         self.pool.lost(now, &server, true, out);
-                        self.tell(now, Input::Lost(server), out);
+                        self.tell(now, Input::ServerLost(server), out);
                     }
                 }
                 Told::Patched(conn, id, answer) => {
@@ -141,10 +143,10 @@
         }
         let server = server.clone();
         let input = match heard {
-            Heard::Answer(id, answer) => Input::Stands { id, server, answer },
+            Heard::Answer(id, answer) => Input::Established { id, server, answer },
             Heard::Release(id, cause, load) => {
                 let status = status(cause, self.broker.stands(id, &server));
-                Input::Over { id, server, status, load }
+                Input::Ended { id, server, status, load }
             }
             Heard::Note(id, note) => Input::Note { id, server, note },
         };
@@ -178,7 +180,7 @@
         self.dialled(now, &set_up.server, "set-up", &out[before..]);
         if let Err(status) = sent {
             let (id, server, load) = (set_up.id, set_up.server.clone(), Load::default());
-            self.tell(now, Input::Over { id, server, status, load }, out);
+            self.tell(now, Input::Ended { id, server, status, load }, out);
         }
     }
 }
--- a/src/node/viewers.rs
+++ b/src/node/viewers.rs
@@ -40,7 +40,7 @@
             Said::Release(id) => {
                 self.forget(id);
                 if self.broker.knows(id) {
-                    self.tell(now, Input::Left(id), out);
+                    self.tell(now, Input::ClientLeft(id), out);
                 } else {
                     self.stray(id);
                 }
@@ -69,7 +69,7 @@
             }
             Said::Playing(request, server) => {
                 self.homes.entry(request.id).or_insert(conn);
-                self.tell(now, Input::Open(request, server.clone()), out);
+                self.tell(now, Input::ExistingSession(request, server.clone()), out);
                 let before = out.len();
                 self.links.attend(now, &server, out);
                 self.dialled(now, &server, "notes", &out[before..]);
--- a/src/trace/tracer.rs
+++ b/src/trace/tracer.rs
@@ -67,8 +67,8 @@
     /// What the core is told by servers and clients.
     pub fn told(&mut self, now: Micros, input: &Input) {
         match input {
-            Input::Stands { server, .. } => self.heard(now, server),
-            Input::Over { id, server, status, .. } => {
+            Input::Established { server, .. } => self.heard(now, server),
+            Input::Ended { id, server, status, .. } => {
                 if matches!(status, Status::Saturated | Status::Errored | Status::Completed) {
                     self.heard(now, server);
                 }
@@ -81,8 +81,8 @@
             Input::Withdrawn { id, server } if self.sessions.contains_key(id) => {
                 self.push(now, Event::Withdrawn { id: named(*id), server: server.to_string() });
             }
-            Input::Left(id) => self.over(now, *id, None),
-            Input::Open(request, server) => self.opened(now, request, server),
+            Input::ClientLeft(id) => self.over(now, *id, None),
+            Input::ExistingSession(request, server) => self.opened(now, request, server),
             _ => {}
         }
     }
--- a/src/whip/mod.rs
+++ b/src/whip/mod.rs
@@ -508,7 +508,7 @@
     fn end(&mut self, now: Micros, id: SessionId, nothing_ran: bool, out: &mut Vec<Wish>) {
         let Some(session) = self.sessions.remove(&id) else { return };
         self.hang_up(&session, "ended", out);
-        out.push(Wish::Tell(Input::Left(id)));
+        out.push(Wish::Tell(Input::ClientLeft(id)));
         if let Some(key) = session.booking {
             // The booking stays spent, unless it is certain that nothing ran.
             if nothing_ran && session.answer.is_none() {
@@ -702,7 +702,7 @@
             if session.booking.is_none() {
                 // Nobody knows of it: it may be set up again without harm.
                 self.sessions.remove(&id);
-                out.push(Wish::Tell(Input::Left(id)));
+                out.push(Wish::Tell(Input::ClientLeft(id)));
             } else if session.answer.is_some() {
                 session.lost_at = Some(now + self.setup.reclaim);
             }
--- a/tests/broker.rs
+++ b/tests/broker.rs
@@ -65,12 +65,12 @@
 
     fn over(&mut self, id: u64, at: &ServerId, status: Status) -> Vec<Effect> {
         let (id, server, load) = (SessionId(id), at.clone(), Load::default());
-        self.tell(Input::Over { id, server, status, load })
+        self.tell(Input::Ended { id, server, status, load })
     }
 
     fn stands(&mut self, id: u64, at: &ServerId) -> Vec<Effect> {
         let (id, server) = (SessionId(id), at.clone());
-        self.tell(Input::Stands { id, server, answer: b"answer"[..].into() })
+        self.tell(Input::Established { id, server, answer: b"answer"[..].into() })
     }
 }
 
@@ -164,7 +164,7 @@
 fn a_client_that_leaves_gives_the_attempt_up_and_is_owed_nothing() {
     let mut core = Core::new(3);
     let first = sent(&core.ask(1, PAID)).remove(0);
-    let mut out = core.tell(Input::Left(SessionId(1)));
+    let mut out = core.tell(Input::ClientLeft(SessionId(1)));
     assert_eq!(out, [Effect::GiveUp(SessionId(1), first.server.clone())]);
     out.extend(core.pass(ms(3000)));
     assert!(answers(&out).is_empty());
@@ -172,17 +172,17 @@
     // And one that plays is cut at its server.
     let set_up = sent(&core.ask(2, CLIP)).remove(0);
     core.stands(2, &set_up.server);
-    assert_eq!(core.tell(Input::Left(SessionId(2))), [Effect::Cut(SessionId(2), set_up.server)]);
+    assert_eq!(core.tell(Input::ClientLeft(SessionId(2))), [Effect::Cut(SessionId(2), set_up.server)]);
 }
 
 #[test]
 fn what_stood_at_a_lost_server_is_over() {
     let mut core = Core::new(1);
     let (open, at) = (Request::new(SessionId(9), Text::from("t"), core.now, 3, 1), server(0));
-    core.tell(Input::Open(open, at.clone()));
+    core.tell(Input::ExistingSession(open, at.clone()));
     assert!(core.broker.stands(SessionId(9), &at));
     assert_eq!(
-        core.tell(Input::Lost(at)),
+        core.tell(Input::ServerLost(at)),
         [Effect::Ended(SessionId(9), Status::Reset), Effect::Log("distrust s-0: connection broke".into()),]
     );
 }
@@ -192,7 +192,7 @@
     let mut core = Core::new(1);
     let set_up = sent(&core.ask(1, PAID)).remove(0);
     core.stands(1, &set_up.server);
-    let out = core.tell(Input::End);
+    let out = core.tell(Input::Shutdown);
     assert!(out.contains(&Effect::Cut(SessionId(1), set_up.server)));
     assert!(out.contains(&Effect::Ended(SessionId(1), Status::Reset)));
     assert_eq!((core.broker.standing(), core.broker.unanswered()), (0, 0));
@@ -258,7 +258,7 @@
             0 => {
                 left.insert(id);
                 out.remove(&id);
-                core.tell(Input::Left(SessionId(id)))
+                core.tell(Input::ClientLeft(SessionId(id)))
             }
             1..=4 => match out.get(&id).cloned() {
                 None => Vec::new(),
@@ -324,19 +324,19 @@
 fn a_paid_request_sent_again_under_its_id_after_it_may_have_run_is_not_set_up_again() {
     let mut core = Core::new(3);
     let first = sent(&core.ask(1, PAID)).remove(0);
-    assert_eq!(core.tell(Input::Left(SessionId(1))), [Effect::GiveUp(SessionId(1), first.server)]);
+    assert_eq!(core.tell(Input::ClientLeft(SessionId(1))), [Effect::GiveUp(SessionId(1), first.server)]);
     let mut out = core.ask(1, PAID);
     out.extend(core.pass(ms(3000)));
     assert!(sent(&out).is_empty(), "it was set up again");
     assert!(matches!(answers(&out)[..], [Effect::Failed(SessionId(1), why)] if why.may_have_run));
     // What may be repeated is, and so is what never ran.
     sent(&core.ask(2, CLIP));
-    core.tell(Input::Left(SessionId(2)));
+    core.tell(Input::ClientLeft(SessionId(2)));
     assert_eq!(sent(&core.ask(2, CLIP)).len(), 1);
-    core.tell(Input::Left(SessionId(2)));
+    core.tell(Input::ClientLeft(SessionId(2)));
     let mut none = Core::new(0);
     none.ask(3, PAID);
-    none.tell(Input::Left(SessionId(3)));
+    none.tell(Input::ClientLeft(SessionId(3)));
     let mut again = none.ask(3, PAID);
     again.extend(none.pass(ms(3000)));
     assert!(matches!(answers(&again)[..], [Effect::Refused(SessionId(3), _)]));
@@ -356,7 +356,7 @@
     // One that was given up is released, once, and remembered for a while only.
     for id in [2, 3] {
         let set_up = sent(&core.ask(id, PAID)).remove(0);
-        core.tell(Input::Left(SessionId(id)));
+        core.tell(Input::ClientLeft(SessionId(id)));
         core.pass(ms(29_000 + 2000 * (id - 2)));
         let late = core.stands(id, &set_up.server);
         assert_eq!(late.len(), usize::from(id == 2), "{late:?}");
@@ -377,14 +377,14 @@
     assert_eq!(to.len(), 3);
     let open = |id: u64| {
         let request = Request::new(SessionId(id), Text::from("t"), Micros(0), 3, 1);
-        Input::Open(request, server(0))
+        Input::ExistingSession(request, server(0))
     };
     for id in 10..17 {
         assert!(answers(&core.tell(open(id))).is_empty());
     }
     assert_eq!(core.tell(open(17)), [Effect::Ended(SessionId(17), Status::Reset)]);
     assert_eq!(core.ask(3, PAID), [refused(3)]);
-    core.tell(Input::Left(SessionId(16)));
+    core.tell(Input::ClientLeft(SessionId(16)));
     core.stands(0, &to[0].server);
     assert_eq!(sent(&core.ask(4, PAID)).len(), 1, "a session that stands needs its description no more");
     assert_eq!(core.ask(5, CLIP), [refused(5)]);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -71,6 +71,6 @@
     let mut core = Core::with_request(Micros(1000));
     assert_eq!(failures(&core.pass_until(core.due - Micros(80_000))), []);
     let (id, server, load) = (REQUEST, server(), Load::default());
-    let effects = core.tell(Input::Over { id, server, status: Status::Errored, load });
+    let effects = core.tell(Input::Ended { id, server, status: Status::Errored, load });
     assert_eq!(failures(&effects), [Failure { deadline: false, may_have_run: true }]);
 }
