--- a/src/broker/answers.rs
+++ b/src/broker/answers.rs
@@ -36,13 +36,13 @@
         } else if !self.stands(id, &server) && self.late.came(now, id, &server) {
             // A late answer to an attempt that was given up: nobody waits for it, and it must not play on. Other
             // answers, as second copies or under ids of others, may concern sessions that stand elsewhere.
-            out.push(Effect::Cut(id, server));
+            out.push(Effect::Release(id, server));
         }
     }
 
     fn answer_plays(&mut self, now: Micros, id: SessionId, answer: Description, out: &mut Vec<Effect>) {
         let Some(attempt) = self.sessions.stand(id) else { return };
-        out.push(Effect::Plays(id, answer));
+        out.push(Effect::Established(id, answer));
         let took = now - attempt.sent_at;
         self.events.push_back(Event::First { id, attempt: attempt.number, server: attempt.server, took });
     }
@@ -82,7 +82,7 @@
     pub(super) fn release_standing(&mut self, now: Micros, out: &mut Vec<Effect>) {
         for id in self.sessions.standing_ids() {
             let Some(server) = self.sessions.server_of(id).cloned() else { continue };
-            out.push(Effect::Cut(id, server.clone()));
+            out.push(Effect::Release(id, server.clone()));
             self.over(now, id, ServerOutcome::reset(server), out);
         }
     }
@@ -91,7 +91,7 @@
     pub(super) fn move_session(&mut self, id: SessionId, out: &mut Vec<Effect>) {
         let Some(placement) = self.sessions.remove_standing(id) else { return };
         out.push(Effect::Moved(id));
-        out.push(Effect::Cut(id, placement.server.clone()));
+        out.push(Effect::Release(id, placement.server.clone()));
         self.report_cancelled(id, placement);
     }
 
--- a/src/broker/attempts.rs
+++ b/src/broker/attempts.rs
@@ -57,7 +57,7 @@
     fn withdraw_attempt(&mut self, now: Micros, id: SessionId, status: Status, out: &mut Vec<Effect>) {
         let Some(attempt) = self.sessions.begin_withdrawal(id, status) else { return };
         self.late.expect(now, id, &attempt.server);
-        out.push(Effect::GiveUp(id, attempt.server));
+        out.push(Effect::Withdraw(id, attempt.server));
         self.events.push_back(Event::Withdrawing(id));
     }
 
@@ -73,7 +73,7 @@
         let Some(session) = self.sessions.get(id) else { return };
         let attempt = match session.stage().clone() {
             Stage::Trying(attempt) => {
-                out.push(Effect::GiveUp(id, attempt.server.clone()));
+                out.push(Effect::Withdraw(id, attempt.server.clone()));
                 self.late.expect(now, id, &attempt.server);
                 attempt
             }
--- a/src/broker/effect.rs
+++ b/src/broker/effect.rs
@@ -43,13 +43,13 @@
     /// Send a set-up.
     SetUp(SetUp),
     /// Tell a server that an attempt is given up; [`Input::Withdrawn`](super::Input::Withdrawn) says when that is written.
-    GiveUp(SessionId, ServerId),
+    Withdraw(SessionId, ServerId),
     /// End a session at its server.
-    Cut(SessionId, ServerId),
+    Release(SessionId, ServerId),
     /// Tell a server the new rung.
     Rate(SessionId, ServerId, Rung),
     /// Final answer: the session stands.
-    Plays(SessionId, Description),
+    Established(SessionId, Description),
     /// Final answer: coming again does no harm, after so long.
     Refused(SessionId, Micros),
     /// Final answer: failed.
--- a/src/broker/requests.rs
+++ b/src/broker/requests.rs
@@ -65,7 +65,7 @@
                 self.drop_attempt(attempt.sent_at, id, Status::Cancelled, out);
             }
             Stage::Standing(placement) => {
-                out.push(Effect::Cut(id, placement.server.clone()));
+                out.push(Effect::Release(id, placement.server.clone()));
                 self.report_cancelled(id, placement);
             }
         }
--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -61,7 +61,7 @@
     pub(super) fn observed(&mut self, effect: &Effect) {
         let Some(hook) = &mut self.hook else { return };
         let (id, outcome) = match effect {
-            Effect::Plays(id, _) => (*id, "plays"),
+            Effect::Established(id, _) => (*id, "plays"),
             Effect::Refused(id, _) => (*id, "refused"),
             Effect::Failed(id, _) => (*id, "failed"),
             Effect::Ended(id, _) => (*id, "ended"),
@@ -101,7 +101,7 @@
             _ => {}
         }
         match effect {
-            Effect::Plays(id, answer) if self.owned_by_whip(id) => {
+            Effect::Established(id, answer) if self.owned_by_whip(id) => {
                 self.figures.answered(id, Outcome::Fulfilled);
                 let ice = self.pool.ice(id).to_vec();
                 self.whip(now, out, |whip, _, wishes| whip.plays(now, id, answer, ice, wishes));
@@ -122,8 +122,8 @@
                 self.whip(now, out, |whip, _, wishes| whip.over(now, id, true, wishes));
             }
             Effect::SetUp(set_up) => self.send(now, &set_up, out),
-            Effect::GiveUp(id, server) => self.give_up(now, id, server, out),
-            Effect::Cut(id, _) if self.pool.holds(id) => self.pool.release(now, id, out),
+            Effect::Withdraw(id, server) => self.give_up(now, id, server, out),
+            Effect::Release(id, _) if self.pool.holds(id) => self.pool.release(now, id, out),
             Effect::Rate(id, server, rung) => {
                 if self.pool.holds(id) {
                     self.pool.rate(now, id, rung, out);
@@ -134,8 +134,8 @@
                     self.whip(now, out, |whip, _, wishes| whip.rated(id, rung, wishes));
                 }
             }
-            Effect::Cut(id, server) => self.links.release(now, id, &server, out),
-            Effect::Plays(id, description) => {
+            Effect::Release(id, server) => self.links.release(now, id, &server, out),
+            Effect::Established(id, description) => {
                 let home = self.answered(now, id);
                 let line = std::str::from_utf8(&description).ok().map(|text| viewer::answer(id, text));
                 match line.filter(|line| line.encode().is_ok()) {
--- a/src/trace/tracer.rs
+++ b/src/trace/tracer.rs
@@ -90,14 +90,14 @@
     /// What the core decides. Of an attempt that is given up what follows tells why.
     pub fn decided(&mut self, now: Micros, effect: &Effect) {
         match effect {
-            Effect::GiveUp(id, _) => self.turned(now, *id, Status::TimedOut),
+            Effect::Withdraw(id, _) => self.turned(now, *id, Status::TimedOut),
             Effect::Rate(id, _, rung) => self.rung(now, *id, *rung),
-            Effect::Plays(id, _) => self.plays(now, *id),
+            Effect::Established(id, _) => self.plays(now, *id),
             Effect::Refused(id, wait) => self.refused(now, *id, *wait),
             Effect::Failed(id, _) => self.failed(now, *id),
             Effect::Ended(id, status) => self.over(now, *id, Some(*status)),
             Effect::Moved(id) => self.moved(now, *id),
-            Effect::Cut(id, server) => {
+            Effect::Release(id, server) => {
                 self.push(now, Event::Released { id: named(*id), server: server.to_string() });
             }
             Effect::SetUp(_) | Effect::Log(_) => {}
--- a/tests/broker.rs
+++ b/tests/broker.rs
@@ -37,7 +37,7 @@
         let mut told = 0;
         // The end of an attempt is written at once here.
         while told < out.len() {
-            if let Effect::GiveUp(id, server) = &out[told] {
+            if let Effect::Withdraw(id, server) = &out[told] {
                 let written = Input::Withdrawn { id: *id, server: server.clone() };
                 self.broker.handle(self.now, written, &mut out);
             }
@@ -85,7 +85,7 @@
 fn answers(effects: &[Effect]) -> Vec<&Effect> {
     effects
         .iter()
-        .filter(|e| matches!(e, Effect::Plays(..) | Effect::Refused(..) | Effect::Failed(..)))
+        .filter(|e| matches!(e, Effect::Established(..) | Effect::Refused(..) | Effect::Failed(..)))
         .collect()
 }
 
@@ -95,7 +95,7 @@
     let set_up = sent(&core.ask(1, CLIP)).remove(0);
     assert_eq!((set_up.attempt, &*set_up.offer, set_up.rung), (0, &b"offer"[..], Some(Rung(1))));
     let out = core.stands(1, &set_up.server);
-    assert_eq!(answers(&out), [&Effect::Plays(SessionId(1), b"answer"[..].into())]);
+    assert_eq!(answers(&out), [&Effect::Established(SessionId(1), b"answer"[..].into())]);
     assert!(answers(&core.pass(ms(5000))).is_empty());
     let out = core.over(1, &set_up.server, Status::Completed);
     assert_eq!(out, [Effect::Ended(SessionId(1), Status::Completed)]);
@@ -124,9 +124,9 @@
     assert!(
         matches!(answers(&out)[..], [Effect::Failed(SessionId(1), why)] if why.may_have_run && why.deadline)
     );
-    assert!(out.contains(&Effect::GiveUp(SessionId(1), first.server.clone())));
+    assert!(out.contains(&Effect::Withdraw(SessionId(1), first.server.clone())));
     let late = core.stands(1, &first.server);
-    assert_eq!(late, [Effect::Cut(SessionId(1), first.server)]);
+    assert_eq!(late, [Effect::Release(SessionId(1), first.server)]);
 }
 
 #[test]
@@ -142,7 +142,7 @@
                 open += 1;
                 assert!(s.wait <= ms(2000));
             }
-            Effect::GiveUp(..) => open -= 1,
+            Effect::Withdraw(..) => open -= 1,
             _ => {}
         }
         assert!((0..=1).contains(&open));
@@ -165,14 +165,14 @@
     let mut core = Core::new(3);
     let first = sent(&core.ask(1, PAID)).remove(0);
     let mut out = core.tell(Input::ClientLeft(SessionId(1)));
-    assert_eq!(out, [Effect::GiveUp(SessionId(1), first.server.clone())]);
+    assert_eq!(out, [Effect::Withdraw(SessionId(1), first.server.clone())]);
     out.extend(core.pass(ms(3000)));
     assert!(answers(&out).is_empty());
-    assert_eq!(core.stands(1, &first.server), [Effect::Cut(SessionId(1), first.server)]);
+    assert_eq!(core.stands(1, &first.server), [Effect::Release(SessionId(1), first.server)]);
     // And one that plays is cut at its server.
     let set_up = sent(&core.ask(2, CLIP)).remove(0);
     core.stands(2, &set_up.server);
-    assert_eq!(core.tell(Input::ClientLeft(SessionId(2))), [Effect::Cut(SessionId(2), set_up.server)]);
+    assert_eq!(core.tell(Input::ClientLeft(SessionId(2))), [Effect::Release(SessionId(2), set_up.server)]);
 }
 
 #[test]
@@ -193,7 +193,7 @@
     let set_up = sent(&core.ask(1, PAID)).remove(0);
     core.stands(1, &set_up.server);
     let out = core.tell(Input::Shutdown);
-    assert!(out.contains(&Effect::Cut(SessionId(1), set_up.server)));
+    assert!(out.contains(&Effect::Release(SessionId(1), set_up.server)));
     assert!(out.contains(&Effect::Ended(SessionId(1), Status::Reset)));
     assert_eq!((core.broker.standing(), core.broker.unanswered()), (0, 0));
 }
@@ -299,7 +299,7 @@
                     *sends += 1;
                     assert!(*sends <= 4);
                 }
-                Effect::GiveUp(id, at) => {
+                Effect::Withdraw(id, at) => {
                     assert!(out.remove(&id.0).is_none_or(|there| there == at));
                     ran.insert(id.0);
                 }
@@ -308,7 +308,9 @@
                     assert!(id.0 % 2 == 1 || clean, "a paid session that may have run is refused");
                     assert!(answered.insert(id.0), "two answers");
                 }
-                Effect::Plays(id, _) | Effect::Failed(id, _) => assert!(answered.insert(id.0), "two answers"),
+                Effect::Established(id, _) | Effect::Failed(id, _) => {
+                    assert!(answered.insert(id.0), "two answers")
+                }
                 Effect::Log(_) => panics += 1,
                 _ => {}
             }
@@ -324,7 +326,7 @@
 fn a_paid_request_sent_again_under_its_id_after_it_may_have_run_is_not_set_up_again() {
     let mut core = Core::new(3);
     let first = sent(&core.ask(1, PAID)).remove(0);
-    assert_eq!(core.tell(Input::ClientLeft(SessionId(1))), [Effect::GiveUp(SessionId(1), first.server)]);
+    assert_eq!(core.tell(Input::ClientLeft(SessionId(1))), [Effect::Withdraw(SessionId(1), first.server)]);
     let mut out = core.ask(1, PAID);
     out.extend(core.pass(ms(3000)));
     assert!(sent(&out).is_empty(), "it was set up again");
