--- a/benches/held.rs
+++ b/benches/held.rs
@@ -66,7 +66,7 @@
         let servers = (0..(CLOSED_CELLS + 1) * SERVERS_PER_CELL)
             .map(|n| ServerEntry::new(server(n), ServerState::Ready, n / SERVERS_PER_CELL))
             .collect();
-        front.tell(Event::Members { kind: ListKind::Complete, servers });
+        front.tell(Event::ServerList { kind: ListKind::Complete, servers });
         (0..CLOSED_CELLS * SERVERS_PER_CELL).for_each(|n| front.close(held, n));
         (0..size).for_each(|_| {
             front.ask_in_vain();
@@ -129,7 +129,7 @@
     bencher.bench_local(|| {
         let mut front = front.borrow_mut();
         let id = front.ask_in_vain();
-        front.tell(Event::Gone(id))
+        front.tell(Event::ViewerLeft(id))
     });
 }
 
--- a/src/broker/answers.rs
+++ b/src/broker/answers.rs
@@ -44,7 +44,7 @@
         let Some(attempt) = self.sessions.stand(id) else { return };
         out.push(Effect::Established(id, answer));
         let took = now - attempt.sent_at;
-        self.events.push_back(Event::First { id, attempt: attempt.number, server: attempt.server, took });
+        self.events.push_back(Event::SetUpDone { id, attempt: attempt.number, server: attempt.server, took });
     }
 
     /// A server, or its connection, ended the attempt or the session; nothing happens if neither is there.
@@ -122,7 +122,7 @@
     pub(super) fn deadline_backstop(&mut self, now: Micros, id: SessionId, out: &mut Vec<Effect>) {
         let owed = self.sessions.get(id).is_some_and(|session| session.unanswered());
         if owed && !mutant::on(Mutant::ForgottenDeadline) {
-            self.events.push_back(Event::Gone(id));
+            self.events.push_back(Event::ViewerLeft(id));
             self.fail(now, id, true, out);
         }
     }
--- a/src/broker/ending.rs
+++ b/src/broker/ending.rs
@@ -18,14 +18,14 @@
                 self.alarms.schedule(due, Alarm::AttemptDeadline(id, number));
             }
         }
-        self.events.push_back(Event::Ends(at));
+        self.events.push_back(Event::ShutdownDeadline(at));
     }
 
     /// Answers all that is still owed an answer: refused where coming again does no harm, else failed.
     pub(super) fn answer_all(&mut self, now: Micros, out: &mut Vec<Effect>) {
         for id in self.sessions.unanswered_ids() {
             self.refuse(now, id, Micros(0), out);
-            self.events.push_back(Event::Gone(id));
+            self.events.push_back(Event::ViewerLeft(id));
         }
     }
 }
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -131,7 +131,7 @@
 
     fn servers_listed(&mut self, kind: ListKind, servers: Vec<ServerEntry>) {
         self.guard.listed(kind, &servers);
-        self.events.push_back(Event::Members { kind, servers });
+        self.events.push_back(Event::ServerList { kind, servers });
     }
 
     fn fronts_changed(&mut self, fronts: FleetPosition) {
@@ -141,7 +141,7 @@
 
     fn turns_changed(&mut self, from: Micros) {
         self.told.turns = Some(from);
-        self.events.push_back(Event::Turns(from));
+        self.events.push_back(Event::WarmUpTurnsFrom(from));
     }
 
     fn settings_changed(&mut self, settings: Box<Settings>) {
--- a/src/broker/renewal.rs
+++ b/src/broker/renewal.rs
@@ -35,9 +35,9 @@
 impl Told {
     fn events(&self) -> impl Iterator<Item = Event> {
         let settings = self.settings.clone().map(Event::Settings);
-        let turns = self.turns.map(Event::Turns);
+        let turns = self.turns.map(Event::WarmUpTurnsFrom);
         let fronts = self.fronts.map(FleetPosition::event);
-        let ends = self.answer_by.map(Event::Ends);
+        let ends = self.answer_by.map(Event::ShutdownDeadline);
         settings.into_iter().chain(turns).chain(fronts).chain(ends)
     }
 }
@@ -52,7 +52,7 @@
         self.alarms.drop_module_timers();
         self.events.clear();
         self.events.extend(self.told.events());
-        self.events.push_back(Event::Members { kind: ListKind::Complete, servers: self.guard.list() });
+        self.events.push_back(Event::ServerList { kind: ListKind::Complete, servers: self.guard.list() });
         for id in self.sessions.standing_ids() {
             self.tell_standing(id);
         }
@@ -65,7 +65,7 @@
     fn tell_standing(&mut self, id: SessionId) {
         let Some((request, server, rung)) = self.standing_as(id) else { return };
         let note = rung.map(|rung| Event::Note { id, server: server.clone(), note: Note::Rung(rung) });
-        self.events.push_back(Event::Open { request, server });
+        self.events.push_back(Event::ExistingSession { request, server });
         self.events.extend(note);
     }
 }
--- a/src/broker/requests.rs
+++ b/src/broker/requests.rs
@@ -52,16 +52,16 @@
             return out.push(Effect::Ended(request.id, Status::Reset));
         }
         self.sessions.insert(Session::playing(request.clone(), server.clone()));
-        self.events.push_back(Event::Open { request, server });
+        self.events.push_back(Event::ExistingSession { request, server });
     }
 
     /// The client gave its request up, or ended its session.
     pub(super) fn left(&mut self, id: SessionId, out: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get(id) else { return };
         match session.stage().clone() {
-            Stage::Waiting => self.events.push_back(Event::Gone(id)),
+            Stage::Waiting => self.events.push_back(Event::ViewerLeft(id)),
             Stage::Trying(attempt) | Stage::Withdrawing(attempt, _) => {
-                self.events.push_back(Event::Gone(id));
+                self.events.push_back(Event::ViewerLeft(id));
                 self.drop_attempt(attempt.sent_at, id, Status::Cancelled, out);
             }
             Stage::Standing(placement) => {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -19,7 +19,7 @@
 //! let mut actions = Vec::new();
 //! let now = Micros(1_000_000);
 //! let list = vec![ServerEntry::new(ServerId::new("10.0.0.1:80"), ServerState::Ready, 0)];
-//! brain.handle(now, Event::Members { kind: ListKind::Complete, servers: list }, &mut actions);
+//! brain.handle(now, Event::ServerList { kind: ListKind::Complete, servers: list }, &mut actions);
 //! let request = Request::new(SessionId(1), Text::from("title"), now + Micros::from_ms(3000.0), 3, 2);
 //! brain.handle(now, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { .. })));
--- a/src/module/api/events.rs
+++ b/src/module/api/events.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the list of servers.
-    Members {
+    ServerList {
         /// What it carries.
         kind: ListKind,
         /// The entries.
@@ -15,14 +15,14 @@
     /// A viewer asks for a session.
     Request(Request),
     /// A session that plays when the front starts.
-    Open {
+    ExistingSession {
         /// Its request.
         request: Request,
         /// Its server.
         server: ServerId,
     },
     /// A set-up is done: the viewer watches.
-    First {
+    SetUpDone {
         /// The session.
         id: SessionId,
         /// Its attempt.
@@ -61,7 +61,7 @@
     /// An attempt is given up, and its end is not written yet: no other can be sent before its outcome.
     Withdrawing(SessionId),
     /// The viewer left, or its time is over.
-    Gone(SessionId),
+    ViewerLeft(SessionId),
     /// A timer has run down.
     Timer(u64),
     /// How many brokers there are, and which of them this one is:
@@ -76,9 +76,9 @@
     /// ladder stay as they are.
     Settings(Box<Settings>),
     /// Cold turns are this front's if they begin then or later; [`Micros::MAX`]: none.
-    Turns(Micros),
+    WarmUpTurnsFrom(Micros),
     /// This front was told to end: by then each request must have its answer.
-    Ends(Micros),
+    ShutdownDeadline(Micros),
     /// A probe ended.
     Probed {
         /// The server.
--- a/src/module/brain/mod.rs
+++ b/src/module/brain/mod.rs
@@ -73,16 +73,16 @@
             self.freshen();
         }
         match event {
-            Event::Members { kind, servers } => self.members(kind, servers, out),
+            Event::ServerList { kind, servers } => self.members(kind, servers, out),
             Event::Request(req) => self.request(req, out),
-            Event::Open { request, server } => self.open(request, &server),
-            Event::First { id, server, took, .. } => self.first(id, &server, took, out),
+            Event::ExistingSession { request, server } => self.open(request, &server),
+            Event::SetUpDone { id, server, took, .. } => self.first(id, &server, took, out),
             Event::Note { id, server, note } => self.note(id, &server, note, out),
             Event::Outcome { id, server, status, closed, load, .. } => {
                 self.outcome(id, &server, (status, closed, load), out);
             }
             Event::Withdrawing(id) => self.withdrawing(id),
-            Event::Gone(id) => self.gone(id),
+            Event::ViewerLeft(id) => self.gone(id),
             Event::Timer(DEADLINE_TIMER) => self.answer_due(out),
             Event::Timer(_) => self.look(out),
             Event::FleetPosition { count, place } => {
@@ -93,8 +93,8 @@
                 self.set = *set;
                 self.refile();
             }
-            Event::Turns(from) => self.book.turns_from = from,
-            Event::Ends(at) => self.ends(at, out),
+            Event::WarmUpTurnsFrom(from) => self.book.turns_from = from,
+            Event::ShutdownDeadline(at) => self.ends(at, out),
             Event::Probed { .. } | Event::Peer { .. } => {}
         }
         if !self.book.ticking && !self.book.sessions.is_empty() {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -174,11 +174,11 @@
                         None => return f.fail("the number of an earlier POOL in RosterId".into()),
                     }
                 };
-                Event::Members { kind, servers }
+                Event::ServerList { kind, servers }
             }
             "KNOCK" => Event::Request(f.request()?),
-            "EXISTING" => Event::Open { request: f.request()?, server: f.server()? },
-            "FIRST_BYTE" => Event::First {
+            "EXISTING" => Event::ExistingSession { request: f.request()?, server: f.server()? },
+            "FIRST_BYTE" => Event::SetUpDone {
                 id: f.session()?,
                 attempt: f.small("SendNo")?,
                 server: f.server()?,
@@ -204,7 +204,7 @@
                 closed: f.flag("Ended")?,
                 load: f.load()?,
             },
-            "CLIENT_GONE" => Event::Gone(f.session()?),
+            "CLIENT_GONE" => Event::ViewerLeft(f.session()?),
             "DEADLINE_HIT" => Event::Timer(f.whole("Mark")?),
             "PING_RESULT" => Event::Probed {
                 server: f.server()?,
--- a/tests/broker.rs
+++ b/tests/broker.rs
@@ -216,7 +216,7 @@
     fn decide(&mut self, _: Micros, event: Event, out: &mut Vec<Action>) {
         let ids: Vec<SessionId> = match &event {
             Event::Request(request) => vec![request.id],
-            Event::Outcome { id, .. } | Event::First { id, .. } => vec![*id],
+            Event::Outcome { id, .. } | Event::SetUpDone { id, .. } => vec![*id],
             _ => vec![SessionId(self.0.u64(..40))],
         };
         for id in ids {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -88,7 +88,7 @@
     }
 
     pub fn list(&mut self, servers: Vec<ServerEntry>) -> Vec<Action> {
-        self.tell(Event::Members { kind: ListKind::Complete, servers })
+        self.tell(Event::ServerList { kind: ListKind::Complete, servers })
     }
 
     pub fn request(&self, id: u64, class: usize, title: &str) -> Request {
@@ -112,7 +112,7 @@
     }
 
     pub fn first(&mut self, id: u64, to: &ServerId) -> Vec<Action> {
-        self.tell(Event::First { id: SessionId(id), attempt: 0, server: to.clone(), took: ms(100) })
+        self.tell(Event::SetUpDone { id: SessionId(id), attempt: 0, server: to.clone(), took: ms(100) })
     }
 
     pub fn note(&mut self, id: u64, at: &ServerId, note: Note) -> Vec<Action> {
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -97,7 +97,7 @@
             }
             80..92 => tell_fullness(&mut front, &mut rng),
             92..96 => {
-                front.tell(Event::Gone(SessionId(rng.u64(0..=u64::from(n)))));
+                front.tell(Event::ViewerLeft(SessionId(rng.u64(0..=u64::from(n)))));
             }
             96..98 => change_list(&mut front, &mut rng),
             98 if rng.u32(0..10) == 0 => new_settings(&mut front, &mut rng, day),
@@ -156,7 +156,7 @@
     let states = [ServerState::Ready, ServerState::Ready, ServerState::Draining, ServerState::Gone];
     let mut entry = entry(rng.u32(0..SERVERS), states[rng.usize(0..states.len())]);
     entry.up_since = rng.bool().then_some(front.now);
-    front.tell(Event::Members { kind: ListKind::Changes, servers: vec![entry] });
+    front.tell(Event::ServerList { kind: ListKind::Changes, servers: vec![entry] });
 }
 
 fn new_settings(front: &mut Front, rng: &mut fastrand::Rng, day: Day) {
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -89,7 +89,7 @@
         for p in processes.iter_mut().filter(|p| round < p.gone) {
             if round == p.ends {
                 if draw.ends_hand_turns_on {
-                    p.front.tell(Event::Turns(Micros::MAX));
+                    p.front.tell(Event::WarmUpTurnsFrom(Micros::MAX));
                 }
                 // Requests on open connections come for a while, and those that wait have their time.
                 p.gone = round + 20;
@@ -116,7 +116,7 @@
                 arrived.push((at, weight));
                 // The server is slow, then full of it: it starts it, and it is over.
                 let took = ms(50);
-                p.front.tell(Event::First { id: of, attempt: 0, server: server(0), took });
+                p.front.tell(Event::SetUpDone { id: of, attempt: 0, server: server(0), took });
                 p.front.tell(Event::Outcome {
                     id: of,
                     attempt: 0,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -87,7 +87,7 @@
         let kind = ListKind::Changes;
         let mut entry = ServerEntry::new(first.clone(), gone, 0);
         entry.cell = if first == server(0) { 0 } else { 1 };
-        f.tell(Event::Members { kind, servers: vec![entry] });
+        f.tell(Event::ServerList { kind, servers: vec![entry] });
         // The running stream would draw joins.
         for id in 2..8 {
             let mut out = f.ask(id, LIVE, "a");
@@ -192,7 +192,7 @@
         f.outcome(2, &to, status, true);
         f.pass(ms(100));
         if before {
-            f.tell(Event::First { id: SessionId(3), attempt: 0, server: to.clone(), took: ms(300) });
+            f.tell(Event::SetUpDone { id: SessionId(3), attempt: 0, server: to.clone(), took: ms(300) });
         } else {
             f.pass(ms(4000));
             f.ask(3, CLIP, "a");
@@ -268,8 +268,8 @@
     f.first(77, &server(0));
     f.outcome(77, &server(9), Status::Completed, true);
     f.note(77, &server(9), Note::Link(2.0));
-    f.tell(Event::Gone(SessionId(77)));
+    f.tell(Event::ViewerLeft(SessionId(77)));
     let request = f.request(5, CLIP, "a");
-    f.tell(Event::Open { request, server: server(42) });
+    f.tell(Event::ExistingSession { request, server: server(42) });
     assert!(sends(&f.out).is_empty() && rates(&f.out).is_empty());
 }
--- a/tests/trouble.rs
+++ b/tests/trouble.rs
@@ -200,7 +200,7 @@
         f.list(vec![ServerEntry::new(server(0), ServerState::Ready, 0)]);
         for id in 0..3 {
             let request = f.request(id, CLIP, "a");
-            f.tell(Event::Open { request, server: server(0) });
+            f.tell(Event::ExistingSession { request, server: server(0) });
             f.note(id, &server(0), Note::Rung(Rung(2)));
         }
         f.note(0, &server(0), Note::Link(1.8));
@@ -341,7 +341,7 @@
         let mut f = Front::bare(Settings { broker_index: seed, ..s.clone() }, u64::from(seed));
         f.list(vec![ServerEntry::new(server(0), ServerState::Ready, 0)]);
         let request = f.request(1, CLIP, "a");
-        f.tell(Event::Open { request, server: server(0) });
+        f.tell(Event::ExistingSession { request, server: server(0) });
         f.note(1, &server(0), Note::Rung(Rung(2)));
         f.note(1, &server(0), Note::Link(1.2));
         left += rates(&f.out).last().map_or(RUNGS[2], |(_, r)| RUNGS[r.0]);
@@ -360,7 +360,7 @@
         let mut f = Front::bare(Settings { broker_index: seed, ..s.clone() }, u64::from(seed));
         f.list(vec![ServerEntry::new(server(0), ServerState::Ready, 0)]);
         let request = f.request(1, CLIP, "a");
-        f.tell(Event::Open { request, server: server(0) });
+        f.tell(Event::ExistingSession { request, server: server(0) });
         f.note(1, &server(0), Note::Rung(Rung(0)));
         f.note(1, &server(0), Note::Link(0.5));
         asked += rates(&f.out).last().map_or(RUNGS[0], |(_, r)| RUNGS[r.0]);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -51,7 +51,7 @@
     let lists: Vec<(ListKind, Vec<ServerEntry>)> = events
         .into_iter()
         .map(|(_, e)| match e {
-            Incoming::Event(Event::Members { kind, servers }) => (kind, servers),
+            Incoming::Event(Event::ServerList { kind, servers }) => (kind, servers),
             other => panic!("{other:?}"),
         })
         .collect();
