--- a/benches/held.rs
+++ b/benches/held.rs
@@ -50,7 +50,7 @@
     settings.kind_streams = vec![1_000_000];
     settings.max_attempts = 4;
     settings.uplink_reported = true;
-    settings.classes = vec![Class::new(LONG, LONG, Effect::Safe)];
+    settings.classes = vec![Class::new(LONG, LONG, Idempotency::Safe)];
     settings
 }
 
--- a/lab/src/deployment.rs
+++ b/lab/src/deployment.rs
@@ -3,7 +3,7 @@
 
 mod drawn;
 
-use amberspindle::api::{Class, Effect, KeyScope, Micros, Rung, Settings};
+use amberspindle::api::{Class, Idempotency, KeyScope, Micros, Rung, Settings};
 use serde::Deserialize;
 
 /// What a repeated set-up of a class does.
@@ -140,10 +140,10 @@
 
 impl ClassRecord {
     fn class(&self) -> Class {
-        let keyed = Effect::Keyed { scope: KeyScope::All, window: ms(self.deadline_ms) };
+        let keyed = Idempotency::Keyed { scope: KeyScope::All, window: ms(self.deadline_ms) };
         let effect = match self.repeat {
-            Repeat::Safe => Effect::Safe,
-            Repeat::Paid => Effect::Unsafe,
+            Repeat::Safe => Idempotency::Safe,
+            Repeat::Paid => Idempotency::Unsafe,
             Repeat::Keyed => keyed,
         };
         Class {
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use amberspindle::api::{Effect, ListKind, Micros, ServerEntry, ServerId, ServerState, SessionId, Text};
+use amberspindle::api::{Idempotency, ListKind, Micros, ServerEntry, ServerId, ServerState, SessionId, Text};
 use amberspindle::message::binary::{Builder, Decoder, code};
 use amberspindle::message::{Kind, cause};
 use amberspindle::node::{Front, Node};
--- a/lab/src/world/viewers.rs
+++ b/lab/src/world/viewers.rs
@@ -14,7 +14,7 @@
             let end = (ask.at + ask.life).min(self.plan.length);
             self.tally.worth.0 += worth * (end - ask.at).secs();
         }
-        self.rules.asked(ask.id, class.effect == Effect::Unsafe, now + class.deadline);
+        self.rules.asked(ask.id, class.idempotency == Idempotency::Unsafe, now + class.deadline);
         let extras = format!(
             "home:{};copies:{};top:{};viewer:{:016x}{}",
             ask.home,
--- a/src/broker/guard.rs
+++ b/src/broker/guard.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::api::{Effect as Repeat, ListKind, Micros, ServerEntry, ServerId, ServerState, Status};
+use crate::api::{Idempotency, ListKind, Micros, ServerEntry, ServerId, ServerState, Status};
 
 /// What is known of a session's earlier attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -73,19 +73,19 @@
         cap: u32,
         due: Micros,
         now: Micros,
-        class: Repeat,
+        class: Idempotency,
         h: History,
     ) -> bool {
         self.takes_new(to)
             && h.attempts < cap
             && now < due
             && !h.out
-            && (class == Repeat::Safe || !h.may_have_run)
+            && (class == Idempotency::Safe || !h.may_have_run)
     }
 
     /// Whether the client may be told that coming again does no harm.
-    pub fn may_refuse(class: Repeat, h: History) -> bool {
-        class == Repeat::Safe || !(h.may_have_run || h.out)
+    pub fn may_refuse(class: Idempotency, h: History) -> bool {
+        class == Idempotency::Safe || !(h.may_have_run || h.out)
     }
 }
 
@@ -99,13 +99,13 @@
         let to = ServerId::new("s-1");
         guard.listed(ListKind::Complete, &[ServerEntry::new(to.clone(), ServerState::Ready, 0)]);
         let mut h = History::default();
-        let may = |h| guard.may_send(&to, 4, Micros(10), Micros(1), Repeat::Unsafe, h);
-        assert!(may(h) && Guard::may_refuse(Repeat::Unsafe, h));
+        let may = |h| guard.may_send(&to, 4, Micros(10), Micros(1), Idempotency::Unsafe, h);
+        assert!(may(h) && Guard::may_refuse(Idempotency::Unsafe, h));
         h.ended(Status::ConnectFailed);
-        assert!(may(h) && Guard::may_refuse(Repeat::Unsafe, h));
+        assert!(may(h) && Guard::may_refuse(Idempotency::Unsafe, h));
         h.ended(Status::Reset);
-        assert!(!may(h) && !Guard::may_refuse(Repeat::Unsafe, h));
-        assert!(Guard::may_refuse(Repeat::Safe, h));
+        assert!(!may(h) && !Guard::may_refuse(Idempotency::Unsafe, h));
+        assert!(Guard::may_refuse(Idempotency::Safe, h));
     }
 
     #[test]
@@ -114,7 +114,7 @@
         let (a, b) = (ServerId::new("a"), ServerId::new("b"));
         let entry = |id: &ServerId, state| ServerEntry::new(id.clone(), state, 0);
         let may = |guard: &Guard, to: &ServerId| {
-            guard.may_send(to, 4, Micros(10), Micros(1), Repeat::Safe, History::default())
+            guard.may_send(to, 4, Micros(10), Micros(1), Idempotency::Safe, History::default())
         };
         guard.listed(ListKind::Complete, &[entry(&a, ServerState::Ready), entry(&b, ServerState::Ready)]);
         guard.listed(ListKind::Changes, &[entry(&b, ServerState::Draining)]);
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -26,7 +26,7 @@
 pub use queries::OpenRequest;
 
 use crate::api::{
-    Action, Effect as Repeat, Event, ListKind, Micros, Note, Rung, ServerEntry, ServerId, SessionId, Settings,
+    Action, Event, Idempotency, ListKind, Micros, Note, Rung, ServerEntry, ServerId, SessionId, Settings,
 };
 use crate::brain::Brain;
 use alarms::{Alarm, Alarms};
@@ -43,7 +43,7 @@
     seed: u64,
     guard: Guard,
     /// What a repeated set-up does, by class.
-    classes: Vec<Repeat>,
+    classes: Vec<Idempotency>,
     /// Attempts for one session at most.
     max_attempts: u32,
     sessions: SessionTable,
@@ -67,7 +67,7 @@
     }
 
     /// A core round any module: what a repeat does in each class, and the cap on attempts.
-    pub fn with(classes: Vec<Repeat>, max_attempts: u32, seed: u64, mut make: Make) -> Broker {
+    pub fn with(classes: Vec<Idempotency>, max_attempts: u32, seed: u64, mut make: Make) -> Broker {
         Broker {
             module: make(seed),
             make,
@@ -217,6 +217,6 @@
 }
 
 /// What a repeated set-up does, by class.
-fn repeats(settings: &Settings) -> Vec<Repeat> {
-    settings.classes.iter().map(|class| class.effect).collect()
+fn repeats(settings: &Settings) -> Vec<Idempotency> {
+    settings.classes.iter().map(|class| class.idempotency).collect()
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,13 +7,13 @@
 //! ```
 //! use amberspindle::api::{Action, Event, ListKind, Micros, Request, ServerEntry, ServerState, Settings};
 //! use amberspindle::brain::Brain;
-//! # use amberspindle::api::{Class, Effect, ServerId, SessionId, Text};
+//! # use amberspindle::api::{Class, Idempotency, ServerId, SessionId, Text};
 //! let mut settings = Settings::new(vec![200.0, 400.0, 800.0], vec![0.3, 0.6, 1.0]);
 //! settings.cells = 3;
 //! settings.racks = 1;
 //! settings.link_unit_kb = 4000.0;
 //! settings.rack_kb = 12000.0;
-//! settings.classes.push(Class::new(Micros::from_ms(800.0), Micros::from_ms(3000.0), Effect::Safe));
+//! settings.classes.push(Class::new(Micros::from_ms(800.0), Micros::from_ms(3000.0), Idempotency::Safe));
 //! let mut brain = Brain::new(settings, 7);
 //!
 //! let mut actions = Vec::new();
--- a/src/module/api.rs
+++ b/src/module/api.rs
@@ -11,7 +11,7 @@
 mod time;
 
 pub use actions::Action;
-pub use class::{Class, Effect, KeyScope, Tenant};
+pub use class::{Class, Idempotency, KeyScope, Tenant};
 pub use events::Event;
 pub use ids::{Rung, ServerId, SessionId, Text};
 pub use outcome::{Load, Note, Status};
--- a/src/module/api/class.rs
+++ b/src/module/api/class.rs
@@ -4,7 +4,7 @@
 
 /// What a repeated set-up of a class does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing bad: it may be sent again and refused freely.
     Safe,
     /// Harmless within a group of servers and for some time.
@@ -37,7 +37,7 @@
     /// The viewer gives a try up after this.
     pub deadline: Micros,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Worth of a second at a rung of worth 1.
     pub worth: f64,
     /// Its titles are live, so that viewers share a stream.
@@ -54,11 +54,11 @@
 
 impl Class {
     /// A class of worth 1 with no terms, recorded titles and every rung.
-    pub fn new(aim: Micros, deadline: Micros, effect: Effect) -> Class {
+    pub fn new(aim: Micros, deadline: Micros, idempotency: Idempotency) -> Class {
         Class {
             aim,
             deadline,
-            effect,
+            idempotency,
             worth: 1.0,
             live: false,
             scale: 1.0,
--- a/src/module/brain/choice.rs
+++ b/src/module/brain/choice.rs
@@ -48,19 +48,19 @@
     /// Whether a server recognises the repeat of a set-up that may have run at another.
     pub(super) fn in_scope(&self, class: usize, ran: usize, i: usize) -> bool {
         let (a, b) = (&self.book.servers[ran].entry, &self.book.servers[i].entry);
-        match self.set.classes[class].effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed { scope: KeyScope::All, .. } => true,
-            Effect::Keyed { scope: KeyScope::Zone, .. } => a.zone == b.zone,
-            Effect::Keyed { scope: KeyScope::Cell, .. } => a.cell == b.cell,
+        match self.set.classes[class].idempotency {
+            Idempotency::Safe => true,
+            Idempotency::Unsafe => false,
+            Idempotency::Keyed { scope: KeyScope::All, .. } => true,
+            Idempotency::Keyed { scope: KeyScope::Zone, .. } => a.zone == b.zone,
+            Idempotency::Keyed { scope: KeyScope::Cell, .. } => a.cell == b.cell,
         }
     }
 
     /// Whether no server recognises the repeat of a set-up any more.
     pub(super) fn window_over(&self, class: usize, sent: Micros) -> bool {
-        let effect = self.set.classes[class].effect;
-        matches!(effect, Effect::Keyed { window, .. } if self.book.now >= sent + window)
+        let effect = self.set.classes[class].idempotency;
+        matches!(effect, Idempotency::Keyed { window, .. } if self.book.now >= sent + window)
     }
 
     /// The holder: the server of the front's running stream, if the title is live, else that with most room.
--- a/src/module/brain/ending.rs
+++ b/src/module/brain/ending.rs
@@ -29,9 +29,9 @@
     pub(super) fn takes_on(&self, id: SessionId) -> bool {
         let (Some(end), Some(session)) = (self.book.end, self.book.sessions.get(&id)) else { return true };
         let left = end.answer_by - self.book.now;
-        let times = match self.set.classes[session.req.class].effect {
-            Effect::Safe => REPEATABLE_TIMES,
-            Effect::Unsafe | Effect::Keyed { .. } => ONCE_TIMES,
+        let times = match self.set.classes[session.req.class].idempotency {
+            Idempotency::Safe => REPEATABLE_TIMES,
+            Idempotency::Unsafe | Idempotency::Keyed { .. } => ONCE_TIMES,
         };
         let usual = Micros::from_secs(self.book.setup_s * times) + self.spare();
         let wanted = usual.min(Micros((end.answer_by - end.told_at).0 / ONCE_PART));
--- a/src/module/brain/mod.rs
+++ b/src/module/brain/mod.rs
@@ -202,7 +202,7 @@
     fn constraints(&self, id: SessionId) -> Constraints {
         let s = &self.book.sessions[&id];
         let (class, cells) = (s.req.class, self.set.cells.max(1));
-        let bound = s.ran.filter(|_| self.set.classes[class].effect != Effect::Safe);
+        let bound = s.ran.filter(|_| self.set.classes[class].idempotency != Idempotency::Safe);
         Constraints {
             class,
             home: s.req.home % cells,
--- a/src/module/brain/refusals.rs
+++ b/src/module/brain/refusals.rs
@@ -7,10 +7,10 @@
     /// no harm, else failed.
     pub(super) fn answer(&mut self, id: SessionId, out: &mut Vec<Action>) {
         let Some(s) = self.book.sessions.get(&id) else { return };
-        let harmless = match self.set.classes[s.req.class].effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed { scope, .. } => scope == KeyScope::All,
+        let harmless = match self.set.classes[s.req.class].idempotency {
+            Idempotency::Safe => true,
+            Idempotency::Unsafe => false,
+            Idempotency::Keyed { scope, .. } => scope == KeyScope::All,
         };
         let held = s.phase == Phase::Held;
         if harmless && (held || s.withdrawing) || held && s.ran.is_none() {
--- a/src/module/brain/retries.rs
+++ b/src/module/brain/retries.rs
@@ -36,7 +36,7 @@
         let most = self.answer_by(s) - self.book.now;
         let aim_left = s.arrived + class.aim - self.book.now;
         let last = s.attempts + 1 >= self.set.max_attempts;
-        if class.effect == Effect::Unsafe || last || aim_left == Micros(0) {
+        if class.idempotency == Idempotency::Unsafe || last || aim_left == Micros(0) {
             return most;
         }
         Micros::from_secs((aim_left.secs() * TRY_PART).max(self.book.setup_s * TRY_TIMES)).min(most)
@@ -90,7 +90,7 @@
         let title = s.req.title.clone();
         let s = &self.book.sessions[&id];
         let spent = s.attempts >= self.set.max_attempts || !self.has_time(s);
-        let stuck = s.ran.is_some() && self.set.classes[s.req.class].effect == Effect::Unsafe;
+        let stuck = s.ran.is_some() && self.set.classes[s.req.class].idempotency == Idempotency::Unsafe;
         if spent || stuck || !self.budget_allows(id) {
             self.answer(id, out);
         } else {
--- a/src/operate/settings.rs
+++ b/src/operate/settings.rs
@@ -156,11 +156,11 @@
     use serde_json::json;
 
     use super::*;
-    use crate::api::{Class, Effect, Micros, Tenant};
+    use crate::api::{Class, Idempotency, Micros, Tenant};
 
-    fn of(classes: &[(&str, Effect)], tenants: &[&str]) -> (Settings, SettingNames) {
+    fn of(classes: &[(&str, Idempotency)], tenants: &[&str]) -> (Settings, SettingNames) {
         let mut settings = Settings::new(vec![1.0], vec![1.0]);
-        let class = |(_, effect): &(&str, Effect)| Class::new(Micros(1), Micros(2), *effect);
+        let class = |(_, effect): &(&str, Idempotency)| Class::new(Micros(1), Micros(2), *effect);
         settings.classes = classes.iter().map(class).collect();
         settings.tenants = tenants.iter().map(|_| Tenant { quota_per_s: Some(1.0) }).collect();
         let names = SettingNames {
@@ -179,18 +179,18 @@
     /// way round.
     #[test]
     fn a_class_that_changes_or_goes_keeps_its_entry_while_it_is_in_use() {
-        let old = of(&[("paid", Effect::Unsafe), ("clip", Effect::Safe)], &["home"]);
+        let old = of(&[("paid", Idempotency::Unsafe), ("clip", Idempotency::Safe)], &["home"]);
         let new = of(
-            &[("clip", Effect::Unsafe), ("paid", Effect::Unsafe), ("new", Effect::Safe)],
+            &[("clip", Idempotency::Unsafe), ("paid", Idempotency::Unsafe), ("new", Idempotency::Safe)],
             &["lee", "home"],
         );
         let got = merged(&old, &new, &[0, 1]);
         assert_eq!(got.classes, [2, 0, 3]);
-        assert_eq!(got.settings.classes[1].effect, Effect::Safe, "under way");
+        assert_eq!(got.settings.classes[1].idempotency, Idempotency::Safe, "under way");
         let named = |name: &str| got.names.class(name);
         assert_eq!((named("clip"), named("paid"), named("new")), (Some(2), Some(0), Some(3)));
         assert_eq!(got.tenants, [1, 0]);
-        let gone = merged(&(got.settings, got.names), &of(&[("new", Effect::Safe)], &["home"]), &[0]);
+        let gone = merged(&(got.settings, got.names), &of(&[("new", Idempotency::Safe)], &["home"]), &[0]);
         assert_eq!((gone.names.class("paid"), gone.names.class("new")), (Some(0), Some(3)), "on their way");
         let names = SettingNames { lately: false, ..gone.names };
         assert_eq!((names.class("paid"), names.class("new")), (None, Some(3)));
@@ -200,10 +200,14 @@
     /// Guards against a table that grows with every file.
     #[test]
     fn entries_that_nothing_refers_to_are_taken_again() {
-        let mut now = of(&[("paid", Effect::Unsafe)], &["home"]);
+        let mut now = of(&[("paid", Idempotency::Unsafe)], &["home"]);
         for n in 0..1000 {
             let (a, b) = (format!("c{n}"), format!("t{n}"));
-            let got = merged(&now, &of(&[("paid", Effect::Unsafe), (&a, Effect::Safe)], &["home", &b]), &[0]);
+            let got = merged(
+                &now,
+                &of(&[("paid", Idempotency::Unsafe), (&a, Idempotency::Safe)], &["home", &b]),
+                &[0],
+            );
             now = (got.settings, got.names);
         }
         assert!(now.0.classes.len() <= 3 && now.0.tenants.len() <= 3, "{:?}", now.1);
--- a/src/platform/timings/tests.rs
+++ b/src/platform/timings/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::api::{Class, Effect};
+use crate::api::{Class, Idempotency};
 
 fn ms(ms: u64) -> Micros {
     Micros(ms * 1000)
@@ -8,7 +8,7 @@
 /// Settings with these deadlines, notes each `tell` and late by `see`, in milliseconds.
 fn settings(deadlines: &[u64], tell: u64, see: u64) -> Settings {
     let mut settings = Settings::new(vec![1.0], vec![1.0]);
-    settings.classes = deadlines.iter().map(|d| Class::new(ms(d / 3), ms(*d), Effect::Safe)).collect();
+    settings.classes = deadlines.iter().map(|d| Class::new(ms(d / 3), ms(*d), Idempotency::Safe)).collect();
     (settings.tell, settings.see) = (ms(tell), ms(see));
     settings
 }
--- a/src/whip/mod.rs
+++ b/src/whip/mod.rs
@@ -412,7 +412,7 @@
         out: &mut Vec<Wish>,
     ) -> Option<Response> {
         let class = self.classes.get(title.class)?;
-        let paid = class.effect != crate::api::Effect::Safe;
+        let paid = class.idempotency != crate::api::Idempotency::Safe;
         if request.content_type.as_deref() != Some("application/sdp") {
             let response = Response::problem(415, "not-sdp", "the body must be application/sdp");
             return Some(response.with("Accept-Post", "application/sdp"));
--- a/src/wire/settings.rs
+++ b/src/wire/settings.rs
@@ -63,9 +63,9 @@
     for item in &items {
         let time = |key: &str| item.need(key)?.number().map(Micros::from_ms);
         let effect = match item.text_or("Effect", "read_like") {
-            "read_like" => Effect::Safe,
-            "non_idempotent" => Effect::Unsafe,
-            "idempotency_key" => Effect::Keyed {
+            "read_like" => Idempotency::Safe,
+            "non_idempotent" => Idempotency::Unsafe,
+            "idempotency_key" => Idempotency::Keyed {
                 scope: match item.text_or("KeyScope", "all") {
                     "all" => KeyScope::All,
                     "zone" | "same zone" => KeyScope::Zone,
--- a/tests/answer_times.rs
+++ b/tests/answer_times.rs
@@ -10,7 +10,7 @@
     let mut s = settings();
     s.tick = ms(1);
     s.max_attempts = 8;
-    s.classes[CLIP].effect = Effect::Unsafe;
+    s.classes[CLIP].idempotency = Idempotency::Unsafe;
     s
 }
 
--- a/tests/broker.rs
+++ b/tests/broker.rs
@@ -1,6 +1,6 @@
 //! The core without a wire: requests, attempts, outcomes and the rules round the module.
 
-use amberspindle::api::{Effect as Repeat, *};
+use amberspindle::api::{Idempotency, *};
 use std::collections::{BTreeMap, BTreeSet};
 
 use amberspindle::broker::{Broker, Decide, Effect, Input, SetUp};
@@ -24,7 +24,7 @@
         (s.cells, s.racks, s.link_unit_kb, s.rack_kb, s.max_attempts) = (3, 1, 1e5, 3e5, 4);
         (s.tick, s.max_retry_after) = (ms(10), ms(500));
         let class = |effect| Class::new(ms(1000), ms(2000), effect);
-        s.classes = vec![class(Repeat::Unsafe), class(Repeat::Safe)];
+        s.classes = vec![class(Idempotency::Unsafe), class(Idempotency::Safe)];
         let mut core = Core { broker: Broker::new(s, 7), now: ms(1_000_000) };
         let entry = |n| ServerEntry::new(server(n), ServerState::Ready, n);
         core.tell(Input::Servers { kind: ListKind::Complete, servers: (0..servers).map(entry).collect() });
@@ -242,7 +242,7 @@
 fn the_rules_hold_round_a_module_that_errs() {
     let mut rng = fastrand::Rng::with_seed(0xbad);
     let module = |seed| -> Box<dyn Decide> { Box::new(Erratic(fastrand::Rng::with_seed(seed))) };
-    let broker = Broker::with(vec![Repeat::Unsafe, Repeat::Safe], 4, 1, Box::new(module));
+    let broker = Broker::with(vec![Idempotency::Unsafe, Idempotency::Safe], 4, 1, Box::new(module));
     let mut core = Core { broker, now: ms(1_000_000) };
     let list = (0..4).map(|n| {
         let state = if n == 3 { ServerState::Draining } else { ServerState::Ready };
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -30,9 +30,9 @@
     s.fall_multiple = 2.0;
     s.fall = ms(2000);
     s.drain_grace = ms(1000);
-    let mut live = Class::new(ms(1000), ms(4000), Effect::Safe);
+    let mut live = Class::new(ms(1000), ms(4000), Idempotency::Safe);
     live.live = true;
-    s.classes = vec![live, Class::new(ms(1000), ms(4000), Effect::Safe)];
+    s.classes = vec![live, Class::new(ms(1000), ms(4000), Idempotency::Safe)];
     s
 }
 
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -58,12 +58,12 @@
     s.broker_count = 3;
     s.budget = Some(RetryBudget { floor: 3.0, ratio: 0.3, span: ms(5000) });
     let class = |effect| Class::new(ms(day.aim), ms(day.deadline), effect);
-    let mut live = class(Effect::Safe);
+    let mut live = class(Idempotency::Safe);
     live.live = true;
-    let keyed = Effect::Keyed { scope: KeyScope::Zone, window: ms(700) };
-    let mut seated = class(Effect::Safe);
+    let keyed = Idempotency::Keyed { scope: KeyScope::Zone, window: ms(700) };
+    let mut seated = class(Idempotency::Safe);
     (seated.seats, seated.floor) = (Some(3), Rung(1));
-    s.classes = vec![live, class(Effect::Safe), class(Effect::Unsafe), class(keyed), seated];
+    s.classes = vec![live, class(Idempotency::Safe), class(Idempotency::Unsafe), class(keyed), seated];
     s
 }
 
@@ -163,7 +163,8 @@
     let mut s = day_settings(day);
     s.classes[SEATED].seats = [None, Some(1), Some(6)][rng.usize(0..3)];
     s.classes[CLIP].floor = Rung(rng.usize(0..2));
-    s.classes[KEYED].effect = Effect::Keyed { scope: KeyScope::Cell, window: ms(rng.u64(200..3000)) };
+    s.classes[KEYED].idempotency =
+        Idempotency::Keyed { scope: KeyScope::Cell, window: ms(rng.u64(200..3000)) };
     front.tell(Event::Settings(Box::new(s)));
 }
 
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,6 +1,6 @@
 //! Whether a failed request is told as one whose time ran out or as one that a server failed.
 
-use amberspindle::api::{Effect as Repeat, *};
+use amberspindle::api::{Idempotency, *};
 use amberspindle::broker::{Broker, Effect, Failure, Input};
 
 const REQUEST: SessionId = SessionId(1);
@@ -22,7 +22,7 @@
         let mut settings = Settings::new(vec![100.0, 200.0], vec![0.4, 1.0]);
         (settings.cells, settings.racks, settings.link_unit_kb, settings.rack_kb) = (1, 1, 1e5, 3e5);
         (settings.tick, settings.max_attempts) = (tick, 4);
-        settings.classes = vec![Class::new(Micros(1_000_000), DEADLINE, Repeat::Unsafe)];
+        settings.classes = vec![Class::new(Micros(1_000_000), DEADLINE, Idempotency::Unsafe)];
         let now = Micros(1_000_000_000);
         let mut core = Core { broker: Broker::new(settings, 7), now, due: now + DEADLINE };
         let listed = ServerEntry::new(server(), ServerState::Ready, 0);
--- a/tests/held.rs
+++ b/tests/held.rs
@@ -18,7 +18,7 @@
 /// Long deadlines, and one class with a seat a title.
 fn long() -> Settings {
     let mut s = settings();
-    let mut seated = Class::new(ms(600_000), ms(600_000), Effect::Safe);
+    let mut seated = Class::new(ms(600_000), ms(600_000), Idempotency::Safe);
     seated.seats = Some(1);
     for class in &mut s.classes {
         (class.aim, class.deadline) = (ms(600_000), ms(600_000));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -18,7 +18,7 @@
 #[test]
 fn a_set_up_that_never_answers_is_failed_before_it_is_due() {
     let mut s = settings();
-    s.classes[CLIP].effect = Effect::Unsafe;
+    s.classes[CLIP].idempotency = Idempotency::Unsafe;
     let mut f = Front::new(s, 3);
     assert_eq!(sends(&f.ask(1, CLIP, "a")).len(), 1);
     let out = f.pass(ms(4000));
@@ -29,7 +29,7 @@
 #[test]
 fn a_paid_session_is_sent_again_only_if_it_never_ran() {
     let mut s = settings();
-    s.classes[CLIP].effect = Effect::Unsafe;
+    s.classes[CLIP].idempotency = Idempotency::Unsafe;
     for (status, again) in [
         (Status::Errored, false),
         (Status::TimedOut, false),
@@ -55,7 +55,7 @@
 fn a_keyed_session_stays_in_its_group_and_window() {
     for (scope, cells_ok) in [(KeyScope::Cell, false), (KeyScope::All, true)] {
         let mut s = settings();
-        s.classes[CLIP].effect = Effect::Keyed { scope, window: ms(5000) };
+        s.classes[CLIP].idempotency = Idempotency::Keyed { scope, window: ms(5000) };
         let mut f = Front::new(s, 3);
         let (_, to) = sends(&f.ask(1, CLIP, "a"))[0].clone();
         f.pass(ms(100));
@@ -69,7 +69,7 @@
 #[test]
 fn a_keyed_session_whose_window_is_over_is_failed_not_refused() {
     let mut s = settings();
-    s.classes[CLIP].effect = Effect::Keyed { scope: KeyScope::Zone, window: ms(50) };
+    s.classes[CLIP].idempotency = Idempotency::Keyed { scope: KeyScope::Zone, window: ms(50) };
     let mut f = Front::new(s, 3);
     let (_, to) = sends(&f.ask(1, CLIP, "a"))[0].clone();
     f.pass(ms(100));
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -141,7 +141,7 @@
 fn settings_are_read_and_unknown_keys_ignored() {
     let s = settings(&conf()).unwrap();
     assert_eq!((s.broker_count, s.broker_index, s.max_attempts), (2, 1, 4));
-    assert_eq!(s.classes[0].effect, Effect::Unsafe);
+    assert_eq!(s.classes[0].idempotency, Idempotency::Unsafe);
     assert_eq!((s.classes[0].top, s.classes[0].seats, s.classes[0].scale), (Rung(1), None, 1.5));
     assert_eq!(s.budget, Some(RetryBudget { floor: 3.0, ratio: 0.2, span: Micros(4_000_000) }));
     assert!(s.uplink_reported);
