--- a/lab/src/boxes.rs
+++ b/lab/src/boxes.rs
@@ -83,9 +83,9 @@
 
     /// The share of its capacity that it has: a box that has just started is cold.
     pub fn warmed(&self, now: Micros, set: &Settings) -> f64 {
-        let Some(started) = self.started.filter(|_| set.cold > Micros(0)) else { return 1.0 };
-        let part = ((now - started).secs() / set.cold.secs()).min(1.0);
-        set.cold_from + (1.0 - set.cold_from) * part
+        let Some(started) = self.started.filter(|_| set.warm_up > Micros(0)) else { return 1.0 };
+        let part = ((now - started).secs() / set.warm_up.secs()).min(1.0);
+        set.initial_capacity + (1.0 - set.initial_capacity) * part
     }
 
     /// Whether it takes a set-up of a broker: it has a place, and its link is not full.
@@ -94,7 +94,7 @@
             && self.held.values().any(|h| h.class == new.class && h.rung == new.rung && h.title == new.title);
         let room = joins || self.streams(set).len() < self.places;
         let link = self.link_kb * self.warmed(now, set);
-        let guarded = set.guard > 0.0 && self.asked_kb(set) >= set.guard * link;
+        let guarded = set.link_limit > 0.0 && self.asked_kb(set) >= set.link_limit * link;
         room && !guarded && !(self.full_to_odd && broker % 2 == 1)
     }
 
--- a/lab/src/deployment.rs
+++ b/lab/src/deployment.rs
@@ -199,13 +199,15 @@
         set.link_unit_kb = self.link_kb;
         set.rack_kb = self.link_kb * self.uplink_part * boxes as f64 / f64::from(set.racks);
         set.kind_streams = vec![self.streams];
-        (set.join, set.stall, set.switch_s) = (self.join, self.stall, self.switch_s);
-        (set.see, set.tell, set.guard) = (ms(self.see_ms), ms(self.tell_ms), self.guard);
+        (set.shared_viewer_cost, set.shortfall_penalty, set.switch_s) =
+            (self.join, self.stall, self.switch_s);
+        (set.note_delay, set.load_note_interval, set.link_limit) =
+            (ms(self.see_ms), ms(self.tell_ms), self.guard);
         (set.max_attempts, set.max_retry_after) = (self.attempts_most, ms(self.retry_after_ms));
         (set.move_price, set.handshake_price) = (self.move_price, self.handshake_price);
         (set.idle, set.drain_grace) = (ms(self.idle_ms), ms(self.drain_grace_ms));
-        (set.cold, set.cold_from) = (ms(self.cold_ms), self.cold_from);
-        (set.fall_multiple, set.fall) = (self.fall_multiple, ms(self.fall_ms));
+        (set.warm_up, set.initial_capacity) = (ms(self.cold_ms), self.cold_from);
+        (set.overload_factor, set.overload_window) = (self.fall_multiple, ms(self.fall_ms));
         set.uplink_reported = self.reports_uplinks();
         set
     }
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -152,7 +152,7 @@
         for (at, fault) in &plan.faults {
             queue.at(START + *at, Due::Fault(*fault));
         }
-        queue.after(set.tell, Due::Tell);
+        queue.after(set.load_note_interval, Due::Tell);
         queue.after(SHORT_EVERY, Due::Short);
         queue.after(SAMPLE, Due::Sample);
         let mut world = World {
--- a/lab/src/world/boxes.rs
+++ b/lab/src/world/boxes.rs
@@ -182,10 +182,10 @@
             let cold = Cold {
                 started: now,
                 places: at.places,
-                warm: set.cold,
-                from: set.cold_from,
-                times: set.fall_multiple,
-                window: set.fall,
+                warm: set.warm_up,
+                from: set.initial_capacity,
+                times: set.overload_factor,
+                window: set.overload_window,
             };
             self.rules.started(of, cold);
             self.boxes[of].health = Health::Up;
--- a/lab/src/world/telling.rs
+++ b/lab/src/world/telling.rs
@@ -77,10 +77,10 @@
             let [link, uplink] = full[of];
             for (broker, id) in self.one_each(of) {
                 let bytes = self.notes(id, link, uplink);
-                self.say(of, broker, self.plan.settings.see, bytes);
+                self.say(of, broker, self.plan.settings.note_delay, bytes);
             }
         }
-        self.queue.after(self.plan.settings.tell, Due::Tell);
+        self.queue.after(self.plan.settings.load_note_interval, Due::Tell);
     }
 
     pub(super) fn tell_short(&mut self) {
@@ -91,7 +91,7 @@
             let was = if share < SHORT { !self.short.insert(of) } else { self.short.remove(&of) };
             if share < SHORT || was {
                 for (broker, id) in self.one_each(of) {
-                    self.say(of, broker, self.plan.settings.see, note(id, "kept_up", share));
+                    self.say(of, broker, self.plan.settings.note_delay, note(id, "kept_up", share));
                 }
             }
         }
@@ -107,7 +107,7 @@
                 if matches!(at.health, Health::Silent | Health::Dead) {
                     continue;
                 }
-                let kept = (1.0 - set.stall * (SHORT - delivered(full[of])).max(0.0)).max(0.0);
+                let kept = (1.0 - set.shortfall_penalty * (SHORT - delivered(full[of])).max(0.0)).max(0.0);
                 for held in at.held.values().filter(|h| h.plays) {
                     let worth = set.classes[held.class].worth * set.rung_worth[held.rung] * SAMPLE.secs();
                     self.tally.worth.1 += worth * kept;
--- a/lab/src/world/viewers.rs
+++ b/lab/src/world/viewers.rs
@@ -92,7 +92,7 @@
                 self.tally.plays += 1;
                 let took = now - of.asked;
                 self.tally.took.push(took.0);
-                let in_time = took <= self.plan.settings.classes[of.ask.class].aim;
+                let in_time = took <= self.plan.settings.classes[of.ask.class].slo;
                 self.tally.in_time += u64::from(of.tries == 1 && in_time);
             }
             ("release", true) => {
--- a/src/module/api/class.rs
+++ b/src/module/api/class.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// A set-up is wanted within this.
-    pub aim: Micros,
+    pub slo: Micros,
     /// The viewer gives a try up after this.
     pub deadline: Micros,
     /// What a repeat does.
@@ -54,9 +54,9 @@
 
 impl Class {
     /// A class of worth 1 with no terms, recorded titles and every rung.
-    pub fn new(aim: Micros, deadline: Micros, idempotency: Idempotency) -> Class {
+    pub fn new(slo: Micros, deadline: Micros, idempotency: Idempotency) -> Class {
         Class {
-            aim,
+            slo,
             deadline,
             idempotency,
             worth: 1.0,
--- a/src/module/api/settings.rs
+++ b/src/module/api/settings.rs
@@ -54,17 +54,17 @@
     /// Streams that a server of each kind runs at most.
     pub kind_streams: Vec<u32>,
     /// A further viewer of a shared stream adds this part of the rate.
-    pub join: f64,
+    pub shared_viewer_cost: f64,
     /// Points of worth lost for each point of the rate that is missing.
-    pub stall: f64,
+    pub shortfall_penalty: f64,
     /// A change of rung while playing costs so many seconds of worth.
     pub switch_s: f64,
     /// How late periodic notes are.
-    pub see: Micros,
+    pub note_delay: Micros,
     /// Time between notes of fullness; zero: none.
-    pub tell: Micros,
+    pub load_note_interval: Micros,
     /// Servers turn set-ups away while so much of their link is asked; zero: never.
-    pub guard: f64,
+    pub link_limit: f64,
     /// Attempts for one session at most.
     pub max_attempts: u32,
     /// Longest advice to stay away that viewers honour; zero: none may be given.
@@ -80,13 +80,13 @@
     /// Nothing new goes to a draining server after this.
     pub drain_grace: Micros,
     /// A started server is warm after this; zero: at once.
-    pub cold: Micros,
+    pub warm_up: Micros,
     /// It starts at this part of its capacity.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// More than this multiple of its present pace makes it fall.
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// Within this.
-    pub fall: Micros,
+    pub overload_window: Micros,
     /// Budget of further attempts, where there is one.
     pub budget: Option<RetryBudget>,
     /// How the list comes.
@@ -113,12 +113,12 @@
             link_unit_kb: 1.0,
             rack_kb: 1.0,
             kind_streams: Vec::new(),
-            join: 1.0,
-            stall: 1.0,
+            shared_viewer_cost: 1.0,
+            shortfall_penalty: 1.0,
             switch_s: 0.0,
-            see: Micros(0),
-            tell: Micros(0),
-            guard: 0.0,
+            note_delay: Micros(0),
+            load_note_interval: Micros(0),
+            link_limit: 0.0,
             max_attempts: 1,
             max_retry_after: Micros(0),
             move_price: 0.0,
@@ -126,10 +126,10 @@
             handshake_price: 0.0,
             idle: Micros(0),
             drain_grace: Micros(0),
-            cold: Micros(0),
-            cold_from: 1.0,
-            fall_multiple: 1.0,
-            fall: Micros(0),
+            warm_up: Micros(0),
+            initial_capacity: 1.0,
+            overload_factor: 1.0,
+            overload_window: Micros(0),
             budget: None,
             discovery: Discovery::Pushed,
             uplink_reported: false,
@@ -139,7 +139,7 @@
     /// Rate of `n` viewers of one class and title at a rung, kB a second; viewers of a live title share a stream.
     pub fn stream_kb(&self, class: usize, n: usize, rung: usize) -> f64 {
         let (Some(class), Some(kb)) = (self.classes.get(class), self.rung_kb.get(rung)) else { return 0.0 };
-        let further = if class.live { self.join } else { 1.0 };
+        let further = if class.live { self.shared_viewer_cost } else { 1.0 };
         let streams = if n == 0 { 0.0 } else { 1.0 + further * (n - 1) as f64 };
         streams * class.scale * kb
     }
--- a/src/module/brain/cold.rs
+++ b/src/module/brain/cold.rs
@@ -17,12 +17,17 @@
     /// no window meets more of them. May hurt where few fronts ask: turns of others stay unused.
     pub(super) fn cold_allows(&self, i: usize) -> bool {
         let server = &self.book.servers[i];
-        if server.cold_until <= self.book.now || self.set.cold == Micros(0) || self.set.fall == Micros(0) {
+        if server.cold_until <= self.book.now
+            || self.set.warm_up == Micros(0)
+            || self.set.overload_window == Micros(0)
+        {
             return true;
         }
         let places = self.set.kind_streams.get(server.entry.kind).copied().unwrap_or(1).max(1);
-        let pace = f64::from(places) / self.set.cold.secs() * self.set.cold_from * self.set.fall_multiple;
-        let (fall, now) = (self.set.fall.0, self.book.now.0);
+        let pace = f64::from(places) / self.set.warm_up.secs()
+            * self.set.initial_capacity
+            * self.set.overload_factor;
+        let (fall, now) = (self.set.overload_window.0, self.book.now.0);
         let turn = Micros::from_secs(1.0 / (pace * COLD_PART).max(1e-3)).0.max(1);
         let fronts = u64::from(self.set.broker_count.max(1));
         let long = (turn * fronts / TURN_FRONTS).min(LONG_TURN * fall).max(turn);
--- a/src/module/brain/demand.rs
+++ b/src/module/brain/demand.rs
@@ -18,7 +18,7 @@
 
     /// The usual fullness, from the figures that are not old.
     pub(super) fn freshen(&mut self) {
-        let (now, within) = (self.book.now, self.set.tell + self.set.see + CHANGE_EVERY);
+        let (now, within) = (self.book.now, self.set.load_note_interval + self.set.note_delay + CHANGE_EVERY);
         let fresh = |s: &&Server| s.entry.state == ServerState::Ready && s.link.fresh(now, within);
         let told = self.book.servers.iter().filter(fresh).filter_map(|s| s.link.told);
         let (n, sum) = told.fold((1.0, UNKNOWN_FULL), |(n, sum), (full, _)| (n + 1.0, sum + full.min(1.0)));
--- a/src/module/brain/health.rs
+++ b/src/module/brain/health.rs
@@ -35,7 +35,7 @@
     }
 
     pub(super) fn listed(&mut self, entry: ServerEntry) {
-        let cold_until = entry.up_since.map_or(Micros(0), |at| at + self.set.cold);
+        let cold_until = entry.up_since.map_or(Micros(0), |at| at + self.set.warm_up);
         if !self.book.names.contains_key(&entry.id) {
             if entry.state == ServerState::Gone {
                 return;
@@ -115,8 +115,8 @@
     pub(super) fn packed(&mut self, i: usize) {
         let now = self.book.now;
         let server = &mut self.book.servers[i];
-        if self.set.guard > 0.0 && server.link.told.is_none_or(|(full, _)| full < self.set.guard) {
-            server.link.tell(self.set.guard, now);
+        if self.set.link_limit > 0.0 && server.link.told.is_none_or(|(full, _)| full < self.set.link_limit) {
+            server.link.tell(self.set.link_limit, now);
         }
         server.packed_until = now + Micros(PACKED.0 << server.packed.min(3));
         server.packed += 1;
@@ -132,7 +132,7 @@
     }
 
     pub(super) fn answered(&mut self, i: usize, out: &mut Vec<Action>) {
-        let (now, cold) = (self.book.now, self.set.cold);
+        let (now, cold) = (self.book.now, self.set.warm_up);
         let server = &mut self.book.servers[i];
         (server.packed, server.answered_at) = (0, now);
         server.errors *= 1.0 - ERRORS_LEARN;
--- a/src/module/brain/held.rs
+++ b/src/module/brain/held.rs
@@ -80,7 +80,8 @@
         let found: Vec<usize> = self.taking(of.home, of.copies).filter(in_scope).collect();
         let live = self.set.classes[of.class].live;
         let alone = self.set.stream_kb(of.class, 1, of.lowest);
-        let least = if live { alone * self.set.join.clamp(0.0, 1.0) * (1.0 - ROUNDING) } else { alone };
+        let least =
+            if live { alone * self.set.shared_viewer_cost.clamp(0.0, 1.0) * (1.0 - ROUNDING) } else { alone };
         let trusted = || found.iter().copied().filter(|i| self.trusted(*i));
         // Luck brings a server before the best one only from so near.
         let best = trusted().map(|i| self.rank(i, least, 0.0)).fold(f64::MAX, f64::min);
@@ -95,7 +96,7 @@
     }
 
     fn impatient(&self, s: &Session) -> bool {
-        let aim = self.set.classes[s.req.class].aim;
+        let aim = self.set.classes[s.req.class].slo;
         self.book.now - s.arrived >= Micros::from_secs(aim.secs() * HOLD_PART)
     }
 
--- a/src/module/brain/notes.rs
+++ b/src/module/brain/notes.rs
@@ -20,7 +20,7 @@
             .sessions
             .get(&id)
             .is_some_and(|s| s.attempts > 0 && now - s.started <= Micros(self.set.tick.0 * 3));
-        let measured = if at_setup { now } else { now - self.set.see };
+        let measured = if at_setup { now } else { now - self.set.note_delay };
         match note {
             Note::Rung(rung) => {
                 self.book.sessions.entry(id).and_modify(|s| s.rung = rung.0.min(s.hi));
@@ -48,7 +48,7 @@
     fn fell_short(&mut self, i: usize, share: f64, measured: Micros) {
         let (full, rack, now) = (1.0 / share, self.book.servers[i].rack, self.book.now);
         self.book.servers[i].short_at = Some(now);
-        let told = self.book.servers[i].link.fresh(now, self.set.tell + self.set.see);
+        let told = self.book.servers[i].link.fresh(now, self.set.load_note_interval + self.set.note_delay);
         let link_explains = self.link_full(i) >= full - UNEXPLAINED;
         if told && !link_explains && !self.set.uplink_reported && self.rack_short(i) {
             let asked = self.rack_asked(rack) - self.book.racks[rack].shifted_since(measured);
@@ -68,11 +68,12 @@
 
     /// Reports in answers are noisy and of uncertain age: they count only where no note is fresh.
     pub(super) fn report(&mut self, i: usize, load: Load) {
-        let (now, rack, within) = (self.book.now, self.book.servers[i].rack, self.set.tell + self.set.see);
+        let (now, rack, within) =
+            (self.book.now, self.book.servers[i].rack, self.set.load_note_interval + self.set.note_delay);
         let link = (&mut self.book.servers[i].link, load.link.or(load.util));
         for (gauge, full) in [link, (&mut self.book.racks[rack], load.uplink)] {
             if let Some(full) = full.filter(|_| !gauge.fresh(now, within)) {
-                gauge.tell(full, now - self.set.see);
+                gauge.tell(full, now - self.set.note_delay);
             }
         }
     }
--- a/src/module/brain/retries.rs
+++ b/src/module/brain/retries.rs
@@ -34,7 +34,7 @@
         let s = &self.book.sessions[&id];
         let class = &self.set.classes[s.req.class];
         let most = self.answer_by(s) - self.book.now;
-        let aim_left = s.arrived + class.aim - self.book.now;
+        let aim_left = s.arrived + class.slo - self.book.now;
         let last = s.attempts + 1 >= self.set.max_attempts;
         if class.idempotency == Idempotency::Unsafe || last || aim_left == Micros(0) {
             return most;
--- a/src/module/brain/room.rs
+++ b/src/module/brain/room.rs
@@ -11,7 +11,7 @@
     pub(super) fn link_full(&self, i: usize) -> f64 {
         let gauge = &self.book.servers[i].link;
         let base = gauge.told.map_or(self.book.usual, |(full, at)| {
-            let old = self.book.now - at - (self.set.tell + self.set.see);
+            let old = self.book.now - at - (self.set.load_note_interval + self.set.note_delay);
             self.book.usual + (full - self.book.usual) * decayed(1.0, old)
         });
         (base + gauge.drift()).max(0.0)
--- a/src/module/brain/rungs.rs
+++ b/src/module/brain/rungs.rs
@@ -148,7 +148,7 @@
 
     /// Raises, on fresh figures only and only while the room after it is this front's to take.
     pub(super) fn raise(&mut self, i: usize, out: &mut Vec<Action>) {
-        let fresh = self.set.tell + self.set.see + self.set.see;
+        let fresh = self.set.load_note_interval + self.set.note_delay + self.set.note_delay;
         if !self.book.servers[i].link.fresh(self.book.now, fresh) || !self.trusted(i) {
             return;
         }
--- a/src/platform/timings.rs
+++ b/src/platform/timings.rs
@@ -60,17 +60,17 @@
         let longest_deadline = longest_deadline(settings);
         // A check takes up to `connect` until it is known to have no answer.
         let latest = (END_TOLD_WITHIN - END_SPARE - connect).max(SILENT_LEAST);
-        let due = settings.tell + settings.see + NOTES_SPARE;
+        let due = settings.load_note_interval + settings.note_delay + NOTES_SPARE;
         // Without notes silence says little, yet it is all that tells of a machine that vanished.
         let silent_most = SILENT_MOST.max(due).min(latest);
-        let quiet = if settings.tell == Micros(0) { silent_most } else { due.min(latest) };
+        let quiet = if settings.load_note_interval == Micros(0) { silent_most } else { due.min(latest) };
         Timings {
             longest_deadline,
             connect,
             board_connect: board::CONNECT.max(connect).min(BOARD_CONNECT_MOST),
             idle,
             idle_spare: IDLE_SPARE.min(Micros(idle.0 / IDLE_SPARE_PART)),
-            tell: settings.tell,
+            tell: settings.load_note_interval,
             quiet,
             silent_most,
             // What waits there is of use for as long as any answer can be.
--- a/src/platform/timings/tests.rs
+++ b/src/platform/timings/tests.rs
@@ -9,7 +9,7 @@
 fn settings(deadlines: &[u64], tell: u64, see: u64) -> Settings {
     let mut settings = Settings::new(vec![1.0], vec![1.0]);
     settings.classes = deadlines.iter().map(|d| Class::new(ms(d / 3), ms(*d), Idempotency::Safe)).collect();
-    (settings.tell, settings.see) = (ms(tell), ms(see));
+    (settings.load_note_interval, settings.note_delay) = (ms(tell), ms(see));
     settings
 }
 
--- a/src/wire/settings.rs
+++ b/src/wire/settings.rs
@@ -41,12 +41,12 @@
     if let Some(places) = family.find("PlacesByKind") {
         s.kind_streams = places.items()?.iter().map(Conf::whole).collect::<Result<_, _>>()?;
     }
-    s.join = family.number_or("Join", 1.0)?;
-    s.stall = family.number_or("StallCost", 1.0)?;
+    s.shared_viewer_cost = family.number_or("Join", 1.0)?;
+    s.shortfall_penalty = family.number_or("StallCost", 1.0)?;
     s.switch_s = family.number_or("ChangeCostsS", 0.0)?;
-    s.see = family.time_or_zero("See")?;
-    s.tell = family.time_or_zero("ReportsEvery")?;
-    s.guard = family.number_or("Guard", 0.0)?;
+    s.note_delay = family.time_or_zero("See")?;
+    s.load_note_interval = family.time_or_zero("ReportsEvery")?;
+    s.link_limit = family.number_or("Guard", 0.0)?;
     s.classes = classes(&root, &family, s.rung_kb.len())?;
     fronts(&root, &mut s)?;
     limits(&root, &mut s)?;
@@ -163,10 +163,10 @@
     }
     let rules = root.need("Rules")?;
     s.drain_grace = rules.time_or_zero("StopSendingWithin")?;
-    s.cold = rules.time_or_zero("Cold")?;
-    s.cold_from = rules.number_or("ColdFrom", 1.0)?;
-    s.fall_multiple = rules.number_or("FallMultiple", 1.0)?;
-    s.fall = rules.time_or_zero("Fall")?;
+    s.warm_up = rules.time_or_zero("Cold")?;
+    s.initial_capacity = rules.number_or("ColdFrom", 1.0)?;
+    s.overload_factor = rules.number_or("FallMultiple", 1.0)?;
+    s.overload_window = rules.time_or_zero("Fall")?;
     if let Some(ratio) = rules.find("RepeatRatio") {
         s.budget = Some(RetryBudget {
             floor: rules.number_or("ExtraFloor", 0.0)?,
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -54,7 +54,7 @@
 fn day_settings(day: Day) -> Settings {
     let mut s = settings();
     (s.link_unit_kb, s.rack_kb) = (day.link_kb, day.link_kb * 5.0);
-    (s.cross_zone_price, s.handshake_price, s.guard) = (0.1, 0.04, 0.97);
+    (s.cross_zone_price, s.handshake_price, s.link_limit) = (0.1, 0.04, 0.97);
     s.broker_count = 3;
     s.budget = Some(RetryBudget { floor: 3.0, ratio: 0.3, span: ms(5000) });
     let class = |effect| Class::new(ms(day.aim), ms(day.deadline), effect);
--- a/tests/held.rs
+++ b/tests/held.rs
@@ -21,7 +21,7 @@
     let mut seated = Class::new(ms(600_000), ms(600_000), Idempotency::Safe);
     seated.seats = Some(1);
     for class in &mut s.classes {
-        (class.aim, class.deadline) = (ms(600_000), ms(600_000));
+        (class.slo, class.deadline) = (ms(600_000), ms(600_000));
     }
     s.classes.push(seated);
     (s.link_unit_kb, s.rack_kb) = (1e7, 1e8);
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -54,7 +54,7 @@
     let mut rng = fastrand::Rng::with_seed(draw.seed);
     let mut s = settings();
     (s.broker_count, s.kind_streams) = (draw.processes, vec![draw.places]);
-    (s.classes[CLIP].aim, s.classes[CLIP].deadline) = (ms(400), ms(1500));
+    (s.classes[CLIP].slo, s.classes[CLIP].deadline) = (ms(400), ms(1500));
     let started = ms(1_000_000);
     let mut entry = ServerEntry::new(server(0), ServerState::Ready, 0);
     entry.up_since = Some(started);
@@ -134,8 +134,8 @@
             processes.push(p);
         }
     }
-    let pace = f64::from(draw.places) / s.cold.secs() * s.cold_from * s.fall_multiple;
-    Seen { arrived, budget: pace * s.fall.secs(), fall: s.fall.0 }
+    let pace = f64::from(draw.places) / s.warm_up.secs() * s.initial_capacity * s.overload_factor;
+    Seen { arrived, budget: pace * s.overload_window.secs(), fall: s.overload_window.0 }
 }
 
 const PLAYED: u64 = 9_000_000;
--- a/tests/trouble.rs
+++ b/tests/trouble.rs
@@ -259,7 +259,7 @@
 #[test]
 fn many_fronts_together_keep_the_pace_of_a_cold_server() {
     let mut s = settings();
-    (s.broker_count, s.classes[CLIP].aim, s.classes[CLIP].deadline) = (100, ms(4000), ms(4000));
+    (s.broker_count, s.classes[CLIP].slo, s.classes[CLIP].deadline) = (100, ms(4000), ms(4000));
     let mut fronts: Vec<Front> = (0..100)
         .map(|me| {
             let mut f = Front::bare(Settings { broker_index: me, ..s.clone() }, u64::from(me));
