--- a/src/broker/answers.rs
+++ b/src/broker/answers.rs
@@ -33,7 +33,7 @@
     ) {
         if self.sessions.attempt_at(id, &server).is_some() {
             self.answer_plays(now, id, answer, out);
-        } else if !self.stands(id, &server) && self.late.came(now, id, &server) {
+        } else if !self.is_established_at(id, &server) && self.late.came(now, id, &server) {
             // A late answer to an attempt that was given up: nobody waits for it, and it must not play on. Other
             // answers, as second copies or under ids of others, may concern sessions that stand elsewhere.
             out.push(Effect::Release(id, server));
@@ -51,7 +51,7 @@
     pub(super) fn over(&mut self, now: Micros, id: SessionId, outcome: ServerOutcome, out: &mut Vec<Effect>) {
         if self.sessions.attempt_at(id, &outcome.server).is_some() {
             self.attempt_over(now, id, outcome);
-        } else if self.stands(id, &outcome.server) {
+        } else if self.is_established_at(id, &outcome.server) {
             self.session_over(id, outcome, out);
         }
     }
--- a/src/broker/guard.rs
+++ b/src/broker/guard.rs
@@ -56,7 +56,7 @@
     }
 
     /// Whether a server is listed as ready.
-    pub fn takes_new(&self, server: &ServerId) -> bool {
+    pub fn accepts_new(&self, server: &ServerId) -> bool {
         self.servers.get(server).is_some_and(|entry| entry.state == ServerState::Ready)
     }
 
@@ -76,7 +76,7 @@
         class: Idempotency,
         h: History,
     ) -> bool {
-        self.takes_new(to)
+        self.accepts_new(to)
             && h.attempts < cap
             && now < due
             && !h.out
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -156,7 +156,7 @@
 
     /// A note counts only if it comes from where the session stands.
     fn noted(&mut self, id: SessionId, server: ServerId, note: Note) {
-        if !self.stands(id, &server) {
+        if !self.is_established_at(id, &server) {
             return;
         }
         if let (Note::Rung(rung), Some(session)) = (note, self.sessions.get_mut(id)) {
--- a/src/broker/queries.rs
+++ b/src/broker/queries.rs
@@ -23,7 +23,7 @@
     }
 
     /// Whether a session stands at a server.
-    pub fn stands(&self, id: SessionId, at: &ServerId) -> bool {
+    pub fn is_established_at(&self, id: SessionId, at: &ServerId) -> bool {
         self.sessions.server_of(id) == Some(at)
     }
 
@@ -33,8 +33,8 @@
     }
 
     /// Whether anything new may go to a server, by the list as it is held.
-    pub fn takes_new(&self, server: &ServerId) -> bool {
-        self.guard.takes_new(server)
+    pub fn accepts_new(&self, server: &ServerId) -> bool {
+        self.guard.accepts_new(server)
     }
 
     /// Whether the session is known: unanswered, or standing.
@@ -43,7 +43,7 @@
     }
 
     /// Whether no attempt of an unanswered session can have run or be out.
-    pub fn untried(&self, id: SessionId) -> bool {
+    pub fn has_no_attempt(&self, id: SessionId) -> bool {
         self.sessions.get(id).is_some_and(|s| !s.history.out && !s.history.may_have_run)
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// Sessions that stand.
-    pub fn standing(&self) -> usize {
+    pub fn established(&self) -> usize {
         self.sessions.standing()
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// Listed servers that get nothing new now: they drain, or the module distrusts them.
-    pub fn avoided(&self, now: Micros) -> usize {
+    pub fn out_of_rotation(&self, now: Micros) -> usize {
         let avoided = |e: &ServerEntry| e.state != ServerState::Ready || self.module.distrusts(now, &e.id);
         self.guard.list().iter().filter(|entry| avoided(entry)).count()
     }
@@ -101,19 +101,19 @@
     }
 
     /// The sessions that stand.
-    pub fn standing_ids(&self) -> Vec<SessionId> {
+    pub fn established_ids(&self) -> Vec<SessionId> {
         self.sessions.standing_ids()
     }
 
     /// A session that stands: its request, where, and its rung if that is known.
-    pub fn standing_as(&self, id: SessionId) -> Option<(Request, ServerId, Option<Rung>)> {
+    pub fn established_session(&self, id: SessionId) -> Option<(Request, ServerId, Option<Rung>)> {
         let session = self.sessions.get(id)?;
         let server = session.placement()?.server.clone();
         Some((session.request.clone(), server, session.rung))
     }
 
     /// Whether any session stands at a server.
-    pub fn stands_any(&self, at: &ServerId) -> bool {
+    pub fn has_established_at(&self, at: &ServerId) -> bool {
         self.sessions.any_standing_at(at)
     }
 }
--- a/src/broker/renewal.rs
+++ b/src/broker/renewal.rs
@@ -63,7 +63,7 @@
 
     /// The new module hears of a session that stands, and of its rung if that is known.
     fn tell_standing(&mut self, id: SessionId) {
-        let Some((request, server, rung)) = self.standing_as(id) else { return };
+        let Some((request, server, rung)) = self.established_session(id) else { return };
         let note = rung.map(|rung| Event::Note { id, server: server.clone(), note: Note::Rung(rung) });
         self.events.push_back(Event::ExistingSession { request, server });
         self.events.extend(note);
--- a/src/node/connections.rs
+++ b/src/node/connections.rs
@@ -131,7 +131,7 @@
             let load = Load::default();
             self.tell(now, Input::Ended { id, server: server.clone(), status, load }, out);
         }
-        if !self.broker.stands_any(&server) {
+        if !self.broker.has_established_at(&server) {
             return;
         }
         let drains = self.servers.get(&server).is_some_and(|(state, _)| *state == ServerState::Draining);
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -34,7 +34,7 @@
         self.phase.yields();
         self.let_go_at = now;
         self.tell(now, Input::WarmUpTurnsFrom(Micros::MAX), out);
-        let standing: Vec<SessionId> = self.broker.standing_ids();
+        let standing: Vec<SessionId> = self.broker.established_ids();
         for id in standing {
             self.pass(now, id, out);
         }
@@ -56,7 +56,7 @@
         if self.owned_by_whip(id) {
             return;
         }
-        let Some((request, server, rung)) = self.broker.standing_as(id) else { return };
+        let Some((request, server, rung)) = self.broker.established_session(id) else { return };
         let class = named(&self.names.classes, request.class);
         let tenant = named(&self.names.tenants, request.tenant);
         let passed = Passed::new(&request, class, tenant, &server, rung);
--- a/src/node/http.rs
+++ b/src/node/http.rs
@@ -17,7 +17,7 @@
         let mut wishes = Vec::new();
         if let Some(whip) = &mut self.whip {
             let (broker, links, pool) = (&self.broker, &self.links, &self.pool);
-            act(whip, &|id| broker.untried(id) || links.waits(id) || pool.waits(id), &mut wishes);
+            act(whip, &|id| broker.has_no_attempt(id) || links.waits(id) || pool.waits(id), &mut wishes);
         }
         for wish in wishes {
             match wish {
--- a/src/node/leaving.rs
+++ b/src/node/leaving.rs
@@ -34,7 +34,7 @@
         let most = self.timings.connect + STALE;
         let fresh =
             |server: &ServerId| self.broker.sent_at(id, server).is_some_and(|sent| now - sent <= most);
-        if carried.as_ref().is_some_and(|server| fresh(server) && self.broker.takes_new(server)) {
+        if carried.as_ref().is_some_and(|server| fresh(server) && self.broker.accepts_new(server)) {
             return true;
         }
         if self.pool.has(conn) {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -151,12 +151,12 @@
 
     /// Requests that are owed an answer, and sessions that stand.
     pub fn held(&self) -> (usize, usize) {
-        (self.broker.unanswered(), self.broker.standing())
+        (self.broker.unanswered(), self.broker.established())
     }
 
     /// What the fleet's record tells of this broker.
     pub fn counts(&self) -> Counts {
-        let sessions = self.broker.standing() as u64;
+        let sessions = self.broker.established() as u64;
         Counts { sessions, refusals: self.refusals, attempts: self.attempts }
     }
 
@@ -187,7 +187,7 @@
 
     /// Whether anything is set up, or waits for it, at a server.
     pub fn busy(&self, server: &ServerId) -> bool {
-        self.broker.stands_any(server)
+        self.broker.has_established_at(server)
     }
 
     /// Servers, sessions, attempts and clients' connections that anything is remembered of, at its fullest place.
--- a/src/node/operate.rs
+++ b/src/node/operate.rs
@@ -53,7 +53,7 @@
             playing_sessions: remaining.playing,
             client_connections: remaining.clients,
             registry_entries: self.servers.len(),
-            out_of_rotation: self.broker.avoided(now),
+            out_of_rotation: self.broker.out_of_rotation(now),
         };
         self.figures.lines(gauges)
     }
@@ -93,7 +93,7 @@
     /// Once the doors are closed and nothing plays whose end is still to be told, lets every connection go on which no
     /// answer is owed.
     pub(super) fn let_all_go(&mut self, out: &mut Vec<Command>) {
-        if !self.phase.closed() || self.broker.standing() > 0 {
+        if !self.phase.closed() || self.broker.established() > 0 {
             return;
         }
         for (conn, c) in self.viewers.iter_mut().filter(|(_, c)| !c.closing && c.open.is_empty()) {
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -22,7 +22,7 @@
     pub(super) fn look(&mut self, now: Micros, out: &mut Vec<Command>) {
         // Those that speak WHIP or WHEP have no connection of their own to be heard on.
         let spoken = self.servers.keys().filter(|s| !self.pool.serves(s));
-        let busy: Vec<ServerId> = spoken.filter(|s| self.broker.stands_any(s)).cloned().collect();
+        let busy: Vec<ServerId> = spoken.filter(|s| self.broker.has_established_at(s)).cloned().collect();
         let connected = self.links.connected();
         for server in self.links.silent(now, busy.iter().cloned()) {
             self.check(now, &server, out);
@@ -35,7 +35,7 @@
     /// Descriptors are short: a connection to a server where nothing plays makes room.
     pub fn spare_link(&mut self, out: &mut Vec<Command>) {
         let broker = &self.broker;
-        self.links.spare(|server| broker.stands_any(server), out);
+        self.links.spare(|server| broker.has_established_at(server), out);
     }
 
     /// Finds out by one more connection whether a server is lost.
@@ -118,7 +118,7 @@
                 Told::Refused(server) => {
                     // One that drains may turn connections down while its sessions play.
                     let ready = self.servers.get(&server).is_some_and(|(s, _)| *s == ServerState::Ready);
-                    if ready && self.broker.stands_any(&server) {
+                    if ready && self.broker.has_established_at(&server) {
                         self.pool.lost(now, &server, true, out);
                         self.tell(now, Input::ServerLost(server), out);
                     }
@@ -145,7 +145,7 @@
         let input = match heard {
             Heard::Answer(id, answer) => Input::Established { id, server, answer },
             Heard::Release(id, cause, load) => {
-                let status = status(cause, self.broker.stands(id, &server));
+                let status = status(cause, self.broker.is_established_at(id, &server));
                 Input::Ended { id, server, status, load }
             }
             Heard::Note(id, note) => Input::Note { id, server, note },
--- a/tests/broker.rs
+++ b/tests/broker.rs
@@ -180,7 +180,7 @@
     let mut core = Core::new(1);
     let (open, at) = (Request::new(SessionId(9), Text::from("t"), core.now, 3, 1), server(0));
     core.tell(Input::ExistingSession(open, at.clone()));
-    assert!(core.broker.stands(SessionId(9), &at));
+    assert!(core.broker.is_established_at(SessionId(9), &at));
     assert_eq!(
         core.tell(Input::ServerLost(at)),
         [Effect::Ended(SessionId(9), Status::Reset), Effect::Log("distrust s-0: connection broke".into()),]
@@ -195,7 +195,7 @@
     let out = core.tell(Input::Shutdown);
     assert!(out.contains(&Effect::Release(SessionId(1), set_up.server)));
     assert!(out.contains(&Effect::Ended(SessionId(1), Status::Reset)));
-    assert_eq!((core.broker.standing(), core.broker.unanswered()), (0, 0));
+    assert_eq!((core.broker.established(), core.broker.unanswered()), (0, 0));
 }
 
 #[test]
