--- a/src/broker/decide.rs
+++ b/src/broker/decide.rs
@@ -25,7 +25,7 @@
     fn decide(&mut self, now: Micros, event: Event, out: &mut Vec<Action>);
 
     /// Servers, sessions or titles that are remembered, whichever are the most.
-    fn remembered(&self) -> usize {
+    fn tracked_entries(&self) -> usize {
         0
     }
 
@@ -40,7 +40,7 @@
         self.handle(now, event, out);
     }
 
-    fn remembered(&self) -> usize {
+    fn tracked_entries(&self) -> usize {
         self.size()
     }
 
--- a/src/broker/guard.rs
+++ b/src/broker/guard.rs
@@ -46,7 +46,7 @@
     }
 
     /// Servers that are remembered.
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_entries(&self) -> usize {
         self.servers.len()
     }
 
--- a/src/broker/late.rs
+++ b/src/broker/late.rs
@@ -44,7 +44,7 @@
     }
 
     /// Attempts that are remembered.
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_entries(&self) -> usize {
         self.order.len()
     }
 }
@@ -60,13 +60,13 @@
         for n in 0..10_000 {
             late.expect(Micros(n), SessionId(n), &server);
         }
-        assert_eq!(late.remembered(), MOST);
+        assert_eq!(late.tracked_entries(), MOST);
         let now = Micros(10_000);
         assert!(!late.came(now, SessionId(1), &server) && !late.came(now, SessionId(10_000), &server));
         assert!(late.came(now, SessionId(9_999), &server));
         assert!(!late.came(now, SessionId(9_999), &server));
         assert!(!late.came(now + KEPT, SessionId(9_998), &server));
         late.expect(now + KEPT, SessionId(1), &server);
-        assert_eq!(late.remembered(), 1);
+        assert_eq!(late.tracked_entries(), 1);
     }
 }
--- a/src/broker/queries.rs
+++ b/src/broker/queries.rs
@@ -74,9 +74,14 @@
     }
 
     /// What is remembered, at its fullest place: to be watched where ids come and go all day.
-    pub fn remembered(&self) -> usize {
-        let own = [self.sessions.len(), self.late.remembered(), self.alarms.len(), self.guard.remembered()];
-        own.into_iter().chain([self.module.remembered()]).max().unwrap_or(0)
+    pub fn tracked_entries(&self) -> usize {
+        let own = [
+            self.sessions.len(),
+            self.late.tracked_entries(),
+            self.alarms.len(),
+            self.guard.tracked_entries(),
+        ];
+        own.into_iter().chain([self.module.tracked_entries()]).max().unwrap_or(0)
     }
 
     /// The servers as last told.
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -268,7 +268,7 @@
     }
 
     /// What is remembered, at its fullest place.
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_entries(&self) -> usize {
         let waiting = self.waiting.values().map(VecDeque::len).sum();
         [self.targets.len(), self.conns.len(), self.resources.len(), self.ends.len(), waiting]
             .into_iter()
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -191,15 +191,15 @@
     }
 
     /// Servers, sessions, attempts and clients' connections that anything is remembered of, at its fullest place.
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_entries(&self) -> usize {
         let own = [self.servers.len(), self.homes.len(), self.owed.len(), self.viewers.len()];
-        let own = own.into_iter().chain([self.figures.remembered()]);
-        let told = self.tracer.as_ref().map_or(0, Tracer::remembered);
+        let own = own.into_iter().chain([self.figures.tracked_entries()]);
+        let told = self.tracer.as_ref().map_or(0, Tracer::tracked_entries);
         let others = [
-            self.links.remembered(),
+            self.links.tracked_entries(),
             self.links.len(),
-            self.pool.remembered(),
-            self.broker.remembered(),
+            self.pool.tracked_entries(),
+            self.broker.tracked_entries(),
             told,
         ];
         own.chain(others).max().unwrap_or(0)
--- a/src/operate/figures.rs
+++ b/src/operate/figures.rs
@@ -111,7 +111,7 @@
     }
 
     /// What is remembered of requests.
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_entries(&self) -> usize {
         self.open.len()
     }
 
@@ -185,6 +185,6 @@
             broker.client_connections=3\nbroker.registry_entries=13\nbroker.out_of_rotation=2\n\
             broker.cfg_accepted=1\nbroker.cfg_invalid=2\n";
         assert_eq!(figures.lines(gauges), told);
-        assert_eq!(figures.remembered(), 0);
+        assert_eq!(figures.tracked_entries(), 0);
     }
 }
--- a/src/platform/links/ends.rs
+++ b/src/platform/links/ends.rs
@@ -96,7 +96,7 @@
     }
 
     /// Servers that anything is remembered of.
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_entries(&self) -> usize {
         let listed = self.addresses.keys().chain(self.alive.keys()).chain(self.checked.keys());
         listed.chain(&self.reset).collect::<BTreeSet<_>>().len()
     }
--- a/src/trace/tests.rs
+++ b/src/trace/tests.rs
@@ -138,7 +138,7 @@
     assert_eq!(told[4], Event::Plays { id: id.clone(), server: other.clone(), attempts: 2, took_ms: 35 });
     assert_eq!(told[5], Event::Rung { id: id.clone(), server: other, from: 0, rung: 1 });
     assert_eq!(told[6], Event::Over { id, how: "completed".into() });
-    assert_eq!(tracer.remembered(), 1, "the one server");
+    assert_eq!(tracer.tracked_entries(), 1, "the one server");
 }
 
 #[test]
@@ -160,5 +160,5 @@
     let left_out: u64 =
         told.iter().map(|(_, e)| if let Event::Dropped { sessions, .. } = e { *sessions } else { 0 }).sum();
     assert!(left_out + lines("session.asked") as u64 >= 9_000, "{left_out}");
-    assert_eq!(tracer.remembered(), 0);
+    assert_eq!(tracer.tracked_entries(), 0);
 }
--- a/src/trace/tracer.rs
+++ b/src/trace/tracer.rs
@@ -45,7 +45,7 @@
     }
 
     /// Sessions or servers that are remembered, whichever are the most.
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_entries(&self) -> usize {
         self.sessions.len().max(self.servers.len())
     }
 
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -572,7 +572,7 @@
         world.out.clear();
     }
     // Titles fade within 100 s, 250 of these.
-    assert!(world.node.remembered() < 300, "{}", world.node.remembered());
+    assert!(world.node.tracked_entries() < 300, "{}", world.node.tracked_entries());
 }
 
 /// Seen on a recorded day: a give-up and the next attempt left in the same moment on two connections, the attempt
