--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -12,7 +12,7 @@
 use amberspindle::message::binary::{Builder, Decoder, code};
 use amberspindle::message::{Kind, cause};
 use amberspindle::node::{Front, Node};
-use amberspindle::platform::links::{Closed, Command, ConnId};
+use amberspindle::platform::links::{Command, ConnId, ConnectionEnd};
 use amberspindle::roster::{ListUpdate, ListedServer};
 use serde_json::{Value, json};
 
@@ -202,14 +202,16 @@
             Due::GivesUp(id) => self.gives_up(id),
             Due::Dialled(line, of) if self.lives(&line) => self.dialled(line, of),
             Due::Unanswered(line) if self.lives(&line) => {
-                self.with(line.broker, |node, out| node.closed(now, line.conn, &Closed::NoAnswer, out));
+                self.with(line.broker, |node, out| {
+                    node.closed(now, line.conn, &ConnectionEnd::NoAnswer, out)
+                });
             }
             Due::ToBox(line, of, bytes) => self.box_hears(line, of, &bytes),
             Due::ToBroker(line, bytes) if self.lives(&line) => {
                 self.with(line.broker, |node, out| node.bytes(now, line.conn, &bytes, out));
             }
             Due::Ended(line, reset) if self.lives(&line) => {
-                let how = Closed::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset };
+                let how = ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset };
                 self.with(line.broker, |node, out| node.closed(now, line.conn, &how, out));
             }
             Due::LeftBox(line, of) => self.left(line, of),
--- a/lab/src/world/boxes.rs
+++ b/lab/src/world/boxes.rs
@@ -25,7 +25,7 @@
             }
             Health::Silent => self.queue.after(CONNECT_TIMEOUT, Due::Unanswered(line)),
             Health::Dead => {
-                self.with(line.broker, |node, out| node.closed(now, line.conn, &Closed::Refused, out));
+                self.with(line.broker, |node, out| node.closed(now, line.conn, &ConnectionEnd::Refused, out));
             }
         }
     }
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -17,7 +17,7 @@
 use crate::http::client::{self, Response, Responses};
 use crate::http::sse;
 use crate::http::uri::encode;
-use crate::platform::links::{Closed, Command, ConnId};
+use crate::platform::links::{Command, ConnId, ConnectionEnd};
 use crate::roster::Paths;
 use news::News;
 use proof::{Outcome, Proof, proof};
@@ -694,18 +694,19 @@
         &mut self,
         now: Micros,
         conn: ConnId,
-        how: &Closed,
+        how: &ConnectionEnd,
         told: &mut Vec<Told>,
         out: &mut Vec<Command>,
     ) {
         let Some(c) = self.conns.remove(&conn) else { return };
-        let down = matches!(how, Closed::Refused | Closed::NoAnswer | Closed::Unopened);
+        let down = matches!(how, ConnectionEnd::Refused | ConnectionEnd::NoAnswer | ConnectionEnd::Unopened);
         if let Some(exchange) = c.exchange {
             let mine = |unsent: &Vec<SessionId>| match &exchange.work {
                 Work::SetUp { id, .. } => unsent.contains(id),
                 _ => false,
             };
-            let unsent = down || !c.open || matches!(how, Closed::Ended { unsent, .. } if mine(unsent));
+            let unsent =
+                down || !c.open || matches!(how, ConnectionEnd::Ended { unsent, .. } if mine(unsent));
             self.broken(now, c.address, exchange.work, c.responses.unfinished(), unsent, told, out);
         }
         if down {
@@ -714,7 +715,7 @@
             for exchange in waiting {
                 self.broken(now, c.address, exchange.work, None, true, told, out);
             }
-            if matches!(how, Closed::Refused) {
+            if matches!(how, ConnectionEnd::Refused) {
                 let there = self.targets.iter().filter(|(_, t)| t.address == c.address);
                 told.extend(there.map(|(server, _)| Told::Refused(server.clone())));
             }
--- a/src/edge/tests.rs
+++ b/src/edge/tests.rs
@@ -62,7 +62,7 @@
         self.pool.bytes(self.now, conn, text.as_bytes(), &mut self.told, &mut self.out);
     }
 
-    fn closed(&mut self, conn: ConnId, how: &Closed) {
+    fn closed(&mut self, conn: ConnId, how: &ConnectionEnd) {
         self.pool.closed(self.now, conn, how, &mut self.told, &mut self.out);
     }
 
@@ -110,7 +110,7 @@
     format!("{head}Location: {place}\r\n{more}\r\nv=0\r\n")
 }
 
-const GONE: Closed = Closed::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: true };
+const GONE: ConnectionEnd = ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: true };
 
 #[test]
 fn a_session_is_ended_where_it_was_made_and_told_of_its_load() {
@@ -194,7 +194,7 @@
     assert!(!world.pool.waits(SessionId(waiting + 1)), "the next one has the connection");
     // The server turns one down: all that wait for a connection are told, with proof.
     world.told.clear();
-    world.closed(dials[1], &Closed::Refused);
+    world.closed(dials[1], &ConnectionEnd::Refused);
     let over = |t: &&Told| matches!(t, Told::Over(_, _, Status::ConnectFailed, _));
     assert_eq!(world.told.iter().filter(over).count(), 1 + MOST_WAITING - 2);
     assert!(world.told.contains(&Told::Refused(ServerId::new(A))));
--- a/src/net/conns.rs
+++ b/src/net/conns.rs
@@ -16,7 +16,7 @@
 use super::room::Linked;
 use super::{Handle, micros, step, tell_withdrawn};
 use crate::node::Front;
-use crate::platform::links::{Closed, ConnId};
+use crate::platform::links::{ConnId, ConnectionEnd};
 
 /// A server, a caller or another broker that takes nothing for so long while there is something to write is let go. For
 /// a server it is short on purpose: what has not left by then has not run, and may still be tried elsewhere.
@@ -138,7 +138,7 @@
     let _ = within(PARTING, drain).await;
 }
 
-fn ended(shared: &Handle, conn: ConnId, peer: &str, reason: &str, how: Closed) {
+fn ended(shared: &Handle, conn: ConnId, peer: &str, reason: &str, how: ConnectionEnd) {
     shared.boxes.borrow_mut().remove(&conn);
     let unanswered = shared.node.borrow().unanswered_on(conn);
     info!(event = "end", conn = conn.0, peer, reason, unanswered);
@@ -150,7 +150,7 @@
     let timeout = micros(shared.timings.get().connect);
     let free = async { Ok(Linked::when_free(&shared).await) };
     let Ok(_linked) = within(timeout, free).await else {
-        return ended(&shared, conn, &peer, "no-room", Closed::Unopened);
+        return ended(&shared, conn, &peer, "no-room", ConnectionEnd::Unopened);
     };
     match within(timeout, Async::<TcpStream>::connect(address)).await {
         Ok(stream) => {
@@ -167,11 +167,11 @@
         }
         Err(error) => {
             let (reason, how) = match error.kind() {
-                io::ErrorKind::TimedOut => ("connect-timeout", Closed::NoAnswer),
+                io::ErrorKind::TimedOut => ("connect-timeout", ConnectionEnd::NoAnswer),
                 io::ErrorKind::ConnectionRefused | io::ErrorKind::ConnectionReset => {
-                    (code(&error), Closed::Refused)
+                    (code(&error), ConnectionEnd::Refused)
                 }
-                _ => (code(&error), Closed::Unopened),
+                _ => (code(&error), ConnectionEnd::Unopened),
             };
             ended(&shared, conn, &peer, reason, how);
         }
--- a/src/net/presence.rs
+++ b/src/net/presence.rs
@@ -13,7 +13,7 @@
 use super::reading::read_now;
 use super::{Handle, board, step};
 use crate::api::SessionId;
-use crate::platform::links::{Closed, ConnId};
+use crate::platform::links::{ConnId, ConnectionEnd};
 
 /// What came on a connection is told, and keeps one that was to be let go.
 pub(super) fn hear(shared: &Handle, conn: ConnId, outbox: &Outbox, bytes: &[u8]) {
@@ -54,9 +54,9 @@
 }
 
 /// How a connection ended, by the code of the reason and by what was still to be written.
-pub(super) fn ended_with(outbox: &Outbox, reason: &str) -> Closed {
+pub(super) fn ended_with(outbox: &Outbox, reason: &str) -> ConnectionEnd {
     let reset = matches!(reason, "reset" | "broken-pipe");
-    Closed::Ended { unsent: outbox.unsent(), unfinished: outbox.unfinished(), reset }
+    ConnectionEnd::Ended { unsent: outbox.unsent(), unfinished: outbox.unfinished(), reset }
 }
 
 /// Hears a client out: what it said, and whether it has gone.
--- a/src/node/connections.rs
+++ b/src/node/connections.rs
@@ -6,7 +6,7 @@
 use super::{Front, Node};
 use crate::api::*;
 use crate::broker::Input;
-use crate::platform::links::{Broken, Closed, Command, ConnId, Server};
+use crate::platform::links::{Command, ConnId, ConnectionEnd, LostConnection, ServerStatus};
 
 impl Node {
     /// A number for a connection.
@@ -99,10 +99,10 @@
     }
 
     /// A connection has ended.
-    pub fn closed(&mut self, now: Micros, conn: ConnId, how: &Closed, out: &mut Vec<Command>) {
+    pub fn closed(&mut self, now: Micros, conn: ConnId, how: &ConnectionEnd, out: &mut Vec<Command>) {
         let unfinished = match how {
-            Closed::Ended { unfinished, .. } => unfinished.as_slice(),
-            Closed::Refused | Closed::NoAnswer | Closed::Unopened => &[],
+            ConnectionEnd::Ended { unfinished, .. } => unfinished.as_slice(),
+            ConnectionEnd::Refused | ConnectionEnd::NoAnswer | ConnectionEnd::Unopened => &[],
         };
         if let Some(c) = self.viewers.remove(&conn) {
             self.homes.retain(|_, home| *home != conn);
@@ -121,7 +121,9 @@
             self.pool.closed(now, conn, how, &mut told, out);
             return self.told(now, told, out);
         }
-        let Some(Broken { server, over, withdrawn, server_is }) = self.links.closed(now, conn, how) else {
+        let Some(LostConnection { server, over, withdrawn, server_status }) =
+            self.links.closed(now, conn, how)
+        else {
             return;
         };
         for id in withdrawn {
@@ -135,11 +137,11 @@
             return;
         }
         let drains = self.servers.get(&server).is_some_and(|(state, _)| *state == ServerState::Draining);
-        match server_is {
-            Server::Up => {}
-            Server::Unsure => self.check(now, &server, out),
-            Server::TurnsDown if drains => {}
-            Server::TurnsDown | Server::Lost => self.tell(now, Input::ServerLost(server), out),
+        match server_status {
+            ServerStatus::Up => {}
+            ServerStatus::Unsure => self.check(now, &server, out),
+            ServerStatus::TurnsDown if drains => {}
+            ServerStatus::TurnsDown | ServerStatus::Lost => self.tell(now, Input::ServerLost(server), out),
         }
     }
 }
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -5,7 +5,7 @@
 use crate::api::*;
 use crate::broker::{Effect as Done, Input};
 use crate::operate::handover::{Message, Passed, note_number, numbered_note, status_word, worded_status};
-use crate::platform::links::{Command, Heard, status};
+use crate::platform::links::{Command, ServerMessage, status};
 
 impl Node {
     /// This process asks another, or nobody, whether it may serve.
@@ -148,22 +148,22 @@
     }
 
     /// Whether what a server says concerns a session that was passed; it is passed too then.
-    pub(super) fn passes_on(&mut self, heard: &Heard) -> bool {
+    pub(super) fn passes_on(&mut self, heard: &ServerMessage) -> bool {
         let id = match heard {
-            Heard::Release(id, ..) | Heard::Note(id, _) => *id,
-            Heard::Answer(..) => return false,
+            ServerMessage::Release(id, ..) | ServerMessage::Note(id, _) => *id,
+            ServerMessage::Answer(..) => return false,
         };
         let Some(server) = self.passed.get(&id).map(|server| server.0.to_string()) else { return false };
         let message = match heard {
-            Heard::Release(id, cause, _) => {
+            ServerMessage::Release(id, cause, _) => {
                 let how = status_word(status(*cause, true)).to_owned();
                 Message::Over { id: id.0, server, how }
             }
-            Heard::Note(id, note) => {
+            ServerMessage::Note(id, note) => {
                 let (note, figure) = note_number(*note);
                 Message::Noted { id: id.0, server, note, figure }
             }
-            Heard::Answer(..) => return false,
+            ServerMessage::Answer(..) => return false,
         };
         self.forward(message);
         true
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -6,7 +6,7 @@
 use crate::api::*;
 use crate::broker::{Input, SetUp};
 use crate::edge::Told;
-use crate::platform::links::{Command, Heard, Withdrawal, status};
+use crate::platform::links::{Command, ServerMessage, Withdrawal, status};
 use crate::roster::ListUpdate;
 
 impl Node {
@@ -137,18 +137,24 @@
         self.pool.ending()
     }
 
-    pub(super) fn heard(&mut self, now: Micros, server: &ServerId, heard: Heard, out: &mut Vec<Command>) {
+    pub(super) fn heard(
+        &mut self,
+        now: Micros,
+        server: &ServerId,
+        heard: ServerMessage,
+        out: &mut Vec<Command>,
+    ) {
         if self.passes_on(&heard) {
             return;
         }
         let server = server.clone();
         let input = match heard {
-            Heard::Answer(id, answer) => Input::Established { id, server, answer },
-            Heard::Release(id, cause, load) => {
+            ServerMessage::Answer(id, answer) => Input::Established { id, server, answer },
+            ServerMessage::Release(id, cause, load) => {
                 let status = status(cause, self.broker.is_established_at(id, &server));
                 Input::Ended { id, server, status, load }
             }
-            Heard::Note(id, note) => Input::Note { id, server, note },
+            ServerMessage::Note(id, note) => Input::Note { id, server, note },
         };
         self.tell(now, input, out);
     }
--- a/src/node/viewers.rs
+++ b/src/node/viewers.rs
@@ -7,7 +7,7 @@
 use crate::mutant::{self, Mutant};
 use crate::operate::figures::Outcome;
 use crate::platform::links::{Command, ConnId};
-use crate::platform::viewer::{self, Said};
+use crate::platform::viewer::{self, ViewerMessage};
 
 /// How long a release waits for a connection that it could go out on: as long as a drain may take, in which clients
 /// have none here. Late is better than never, as its client goes by it that the session plays.
@@ -31,13 +31,15 @@
 }
 
 impl Node {
-    pub(super) fn said(&mut self, now: Micros, conn: ConnId, said: Said, out: &mut Vec<Command>) {
-        if !matches!(said, Said::Ping(_)) {
+    pub(super) fn said(&mut self, now: Micros, conn: ConnId, said: ViewerMessage, out: &mut Vec<Command>) {
+        if !matches!(said, ViewerMessage::Ping(_)) {
             self.pay_owed(now, conn, out);
         }
         match said {
-            Said::Ping(id) => self.say(now, Some(conn), &viewer::pong(id, self.phase.passes(now)), out),
-            Said::Release(id) => {
+            ViewerMessage::Ping(id) => {
+                self.say(now, Some(conn), &viewer::pong(id, self.phase.passes(now)), out)
+            }
+            ViewerMessage::Release(id) => {
                 self.forget(id);
                 if self.broker.knows(id) {
                     self.tell(now, Input::ClientLeft(id), out);
@@ -45,7 +47,7 @@
                     self.stray(id);
                 }
             }
-            Said::SetUp(request, description) => {
+            ViewerMessage::SetUp(request, description) => {
                 let id = request.id;
                 if self.broker.knows(id) {
                     return self.taken(now, conn, id, out);
@@ -56,18 +58,18 @@
                 }
                 self.ask(now, request, description.into_bytes().into(), out);
             }
-            Said::Unfit(id, _) if self.broker.knows(id) => self.taken(now, conn, id, out),
-            Said::Unfit(id, class) => {
+            ViewerMessage::Unfit(id, _) if self.broker.knows(id) => self.taken(now, conn, id, out),
+            ViewerMessage::Unfit(id, class) => {
                 if let Some(class) = class {
                     self.figures.asked(id, named(&self.names.classes, class));
                     self.figures.answered(id, Outcome::Faulted);
                 }
                 self.say(now, Some(conn), &viewer::failed(id), out);
             }
-            Said::Playing(request, _) if self.phase.closed() => {
+            ViewerMessage::Playing(request, _) if self.phase.closed() => {
                 self.carry_out(now, Effect::Ended(request.id, Status::Reset), out);
             }
-            Said::Playing(request, server) => {
+            ViewerMessage::Playing(request, server) => {
                 self.homes.entry(request.id).or_insert(conn);
                 self.tell(now, Input::ExistingSession(request, server.clone()), out);
                 let before = out.len();
--- a/src/platform/links.rs
+++ b/src/platform/links.rs
@@ -14,7 +14,7 @@
 use crate::message::cause;
 use link::Link;
 pub use withdrawal::Withdrawal;
-pub use words::{Broken, Closed, Command, Heard, Server};
+pub use words::{Command, ConnectionEnd, LostConnection, ServerMessage, ServerStatus};
 
 /// A connection, counted from the start of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -212,7 +212,7 @@
         conn: ConnId,
         bytes: &[u8],
         out: &mut Vec<Command>,
-    ) -> (ServerId, Vec<Heard>) {
+    ) -> (ServerId, Vec<ServerMessage>) {
         let mut heard = Vec::new();
         let Some(link) = self.links.get_mut(&conn).filter(|l| !l.broken) else {
             return (ServerId::default(), heard);
@@ -224,7 +224,7 @@
             link.broken = true;
             out.push(Command::Cut(conn, error.code()));
         }
-        if heard.iter().any(|heard| matches!(heard, Heard::Note(_, Note::Link(_)))) {
+        if heard.iter().any(|heard| matches!(heard, ServerMessage::Note(_, Note::Link(_)))) {
             self.noted = now;
         }
         link.begun = if link.decoder.begun() { link.begun.or(Some(now)) } else { None };
--- a/src/platform/links/ends.rs
+++ b/src/platform/links/ends.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::withdrawal::APART;
-use super::{Broken, Closed, Command, ConnId, Links, Server};
+use super::{Command, ConnId, ConnectionEnd, Links, LostConnection, ServerStatus};
 use crate::api::{Micros, ServerId, SessionId, Status};
 use crate::platform::timings::Timings;
 
@@ -19,14 +19,18 @@
 
 impl Links {
     /// A connection has ended.
-    pub fn closed(&mut self, now: Micros, conn: ConnId, how: &Closed) -> Option<Broken> {
+    pub fn closed(&mut self, now: Micros, conn: ConnId, how: &ConnectionEnd) -> Option<LostConnection> {
         let link = self.links.remove(&conn)?;
         let queued = |id: SessionId| link.queue.iter().any(|queued| queued.set_up == Some(id));
         let ended = |id: SessionId| match how {
-            Closed::Refused | Closed::NoAnswer | Closed::Unopened => (id, Status::ConnectFailed),
-            Closed::Ended { unsent, .. } if unsent.contains(&id) || queued(id) => (id, Status::ConnectFailed),
+            ConnectionEnd::Refused | ConnectionEnd::NoAnswer | ConnectionEnd::Unopened => {
+                (id, Status::ConnectFailed)
+            }
+            ConnectionEnd::Ended { unsent, .. } if unsent.contains(&id) || queued(id) => {
+                (id, Status::ConnectFailed)
+            }
             // Some of it may have reached the server: that proves nothing.
-            Closed::Ended { .. } => (id, Status::Reset),
+            ConnectionEnd::Ended { .. } => (id, Status::Reset),
         };
         let over: Vec<(SessionId, Status)> = link.set_ups.keys().copied().map(ended).collect();
         let ran = over.iter().filter(|(_, status)| *status == Status::Reset);
@@ -35,23 +39,25 @@
         let open = self.links.values().any(|l| l.server == link.server && l.up());
         let unheard = self.unheard(now, &link.server);
         // A server that has nothing to say may answer the end of a connection that was left with a reset.
-        if !link.left && matches!(how, Closed::Ended { reset: true, .. }) {
+        if !link.left && matches!(how, ConnectionEnd::Ended { reset: true, .. }) {
             self.reset.insert(link.server.clone());
         }
-        let server_is = match how {
+        let server_status = match how {
             // A server that drains turns new connections down while its sessions play on; only an older
             // connection that was reset, or a long silence, tells it from one that has died.
-            Closed::Refused if self.reset.contains(&link.server) || unheard >= LOST_SILENCE => Server::Lost,
-            Closed::Refused if open => Server::Up,
-            Closed::Refused => Server::TurnsDown,
+            ConnectionEnd::Refused if self.reset.contains(&link.server) || unheard >= LOST_SILENCE => {
+                ServerStatus::Lost
+            }
+            ConnectionEnd::Refused if open => ServerStatus::Up,
+            ConnectionEnd::Refused => ServerStatus::TurnsDown,
             // A machine that is cut off leaves its connections open and silent.
-            Closed::NoAnswer if unheard <= self.timings.quiet => Server::Up,
-            Closed::NoAnswer => Server::Lost,
-            Closed::Unopened => Server::Up,
-            Closed::Ended { .. } if open => Server::Up,
-            Closed::Ended { .. } => Server::Unsure,
+            ConnectionEnd::NoAnswer if unheard <= self.timings.quiet => ServerStatus::Up,
+            ConnectionEnd::NoAnswer => ServerStatus::Lost,
+            ConnectionEnd::Unopened => ServerStatus::Up,
+            ConnectionEnd::Ended { .. } if open => ServerStatus::Up,
+            ConnectionEnd::Ended { .. } => ServerStatus::Unsure,
         };
-        Some(Broken { server: link.server, over, withdrawn, server_is })
+        Some(LostConnection { server: link.server, over, withdrawn, server_status })
     }
 
     /// Servers, of those given, that have been silent for too long. All write their notes at the same time: where
--- a/src/platform/links/link.rs
+++ b/src/platform/links/link.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Command, ConnId, Heard};
+use super::{Command, ConnId, ServerMessage};
 use crate::api::{Micros, Note, Rung, ServerId, SessionId};
 use crate::broker::Description;
 use crate::message::binary::{Decoder, Packet, code};
@@ -60,7 +60,7 @@
     }
 
     /// Reads the messages that are whole.
-    pub(super) fn read(&mut self, heard: &mut Vec<Heard>) -> Result<(), Malformed> {
+    pub(super) fn read(&mut self, heard: &mut Vec<ServerMessage>) -> Result<(), Malformed> {
         while let Some(packet) = self.decoder.next_packet()? {
             let id = packet.id;
             match packet.kind {
@@ -69,15 +69,15 @@
                     let description = packet.value(code::DESCRIPTION).filter(|d| !d.is_empty());
                     let description = Description::from(description.ok_or(Malformed::BadField)?);
                     self.set_ups.remove(&id);
-                    heard.push(Heard::Answer(id, description));
+                    heard.push(ServerMessage::Answer(id, description));
                 }
                 Kind::Release => {
                     let cause = packet.cause().ok_or(Malformed::BadField)?;
                     self.set_ups.remove(&id);
                     let load = packet.text(code::LOAD).map(load_report).unwrap_or_default();
-                    heard.push(Heard::Release(id, cause, load));
+                    heard.push(ServerMessage::Release(id, cause, load));
                 }
-                Kind::Note => heard.extend(note(&packet).map(|note| Heard::Note(id, note))),
+                Kind::Note => heard.extend(note(&packet).map(|note| ServerMessage::Note(id, note))),
                 Kind::Progress | Kind::Released | Kind::Pong | Kind::Ping | Kind::Move | Kind::Rate => {}
                 Kind::SetUp => return Err(Malformed::UnknownType),
             }
--- a/src/platform/links/tests.rs
+++ b/src/platform/links/tests.rs
@@ -19,6 +19,6 @@
     out.clear();
     assert!(links.check(late, &server, &mut out));
     let Some(Command::Dial(tried, _)) = out.first() else { panic!("{out:?}") };
-    let broken = links.closed(late + Micros(250_000), *tried, &Closed::NoAnswer).unwrap();
-    assert_eq!(broken.server_is, Server::Lost);
+    let broken = links.closed(late + Micros(250_000), *tried, &ConnectionEnd::NoAnswer).unwrap();
+    assert_eq!(broken.server_status, ServerStatus::Lost);
 }
--- a/src/platform/links/words.rs
+++ b/src/platform/links/words.rs
@@ -31,7 +31,7 @@
 
 /// What an edge server says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum ServerMessage {
     /// The session stands, with this description.
     Answer(SessionId, Description),
     /// The attempt or the session is over.
@@ -42,7 +42,7 @@
 
 /// How a connection ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Closed {
+pub enum ConnectionEnd {
     /// The machine turned it down.
     Refused,
     /// It did not come up in time.
@@ -62,7 +62,7 @@
 
 /// What a connection takes with it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct LostConnection {
     /// Its server.
     pub server: ServerId,
     /// How each set-up that was open on it ended.
@@ -70,12 +70,12 @@
     /// Set-ups that had been given up on it and whose end was not written.
     pub withdrawn: Vec<SessionId>,
     /// What it tells of the server and all that stands there.
-    pub server_is: Server,
+    pub server_status: ServerStatus,
 }
 
 /// What the end of a connection tells of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Server {
+pub enum ServerStatus {
     /// Nothing: another connection is up and well.
     Up,
     /// It may be lost: no other connection is up.
--- a/src/platform/viewer.rs
+++ b/src/platform/viewer.rs
@@ -10,7 +10,7 @@
 
 /// What a viewer says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum ViewerMessage {
     /// It asks for a session, with a description.
     SetUp(Request, String),
     /// It names a session that plays at a server already.
@@ -46,16 +46,18 @@
         now: Micros,
         names: &SettingNames,
         settings: &Settings,
-    ) -> Result<Option<Said>, Malformed> {
+    ) -> Result<Option<ViewerMessage>, Malformed> {
         while let Some(line) = self.decoder.next_line()? {
             match line.kind {
                 Kind::SetUp => {
                     let id = line.id;
                     let class = line.fields.get("class").and_then(|c| names.class(c));
-                    return Ok(Some(set_up(line, now, names, settings).unwrap_or(Said::Unfit(id, class))));
+                    return Ok(Some(
+                        set_up(line, now, names, settings).unwrap_or(ViewerMessage::Unfit(id, class)),
+                    ));
                 }
-                Kind::Release => return Ok(Some(Said::Release(line.id))),
-                Kind::Ping => return Ok(Some(Said::Ping(line.id))),
+                Kind::Release => return Ok(Some(ViewerMessage::Release(line.id))),
+                Kind::Ping => return Ok(Some(ViewerMessage::Ping(line.id))),
                 // Free: they mean nothing.
                 Kind::Progress | Kind::Released | Kind::Pong => {}
                 Kind::Answer | Kind::Note | Kind::Move | Kind::Rate => return Err(Malformed::UnknownType),
@@ -66,7 +68,7 @@
 }
 
 /// Reads a set-up; none if a figure is missing, can't be read, or is beyond what the settings allow.
-fn set_up(line: Line, now: Micros, names: &SettingNames, settings: &Settings) -> Option<Said> {
+fn set_up(line: Line, now: Micros, names: &SettingNames, settings: &Settings) -> Option<ViewerMessage> {
     let field = |name: &str| line.fields.get(name).map(String::as_str);
     let number = |text: &str| text.trim().parse::<f64>().ok().filter(|x| x.is_finite());
     let class = field("class").and_then(|c| names.class(c))?;
@@ -96,7 +98,7 @@
     request.hint = field("hint").and_then(number).filter(|h| *h > 0.0);
     if let Some(server) = at {
         request.copies = copies.unwrap_or(0);
-        return Some(Said::Playing(request, server));
+        return Some(ViewerMessage::Playing(request, server));
     }
     request.copies = copies?;
     // A viewer waits as long as its class does, give or take what the way cost.
@@ -109,7 +111,7 @@
         return None;
     }
     request.due = now + left.min(most);
-    Some(Said::SetUp(request, line.sdp?))
+    Some(ViewerMessage::SetUp(request, line.sdp?))
 }
 
 /// The session stands.
--- a/tests/cuts.rs
+++ b/tests/cuts.rs
@@ -12,7 +12,7 @@
 use amberspindle::http::client::Responses;
 use amberspindle::http::server::Decoder;
 use amberspindle::node::{Front, Node};
-use amberspindle::platform::links::{Closed, Command, ConnId};
+use amberspindle::platform::links::{Command, ConnId, ConnectionEnd};
 use amberspindle::roster::ListUpdate;
 use support::{http, settings};
 
@@ -44,7 +44,7 @@
     Delete {
         booking: u32,
     },
-    Closed(ConnId, Closed),
+    Closed(ConnId, ConnectionEnd),
 }
 
 /// A session at a media server.
@@ -161,7 +161,8 @@
                 | Command::Leave(conn, _) => {
                     let known = self.edges.remove(&conn).is_some() | self.gone(conn);
                     if known {
-                        let how = Closed::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: false };
+                        let how =
+                            ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: false };
                         self.at(Micros(100), Event::Closed(conn, how));
                     }
                 }
@@ -223,7 +224,7 @@
             let unsent = if cut == 0 { tag.into_iter().collect() } else { Vec::new() };
             self.at(
                 ms(1),
-                Event::Closed(conn, Closed::Ended { unsent, unfinished: Vec::new(), reset: true }),
+                Event::Closed(conn, ConnectionEnd::Ended { unsent, unfinished: Vec::new(), reset: true }),
             );
         }
     }
@@ -236,7 +237,7 @@
         if cut.is_some_and(|cut| cut < bytes.len()) {
             self.gone(conn);
             let unfinished = tag.into_iter().collect();
-            let how = Closed::Ended { unsent: Vec::new(), unfinished, reset: true };
+            let how = ConnectionEnd::Ended { unsent: Vec::new(), unfinished, reset: true };
             return self.at(ms(1), Event::Closed(conn, how));
         }
         while let Ok(Some(response)) = client.responses.next_response(64 * 1024) {
@@ -251,7 +252,7 @@
         if !client.answers.is_empty() {
             let (booking, deletes, status) = (client.booking, client.deletes, client.answers[0]);
             self.clients.remove(&conn);
-            let how = Closed::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: false };
+            let how = ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: false };
             self.at(ms(1), Event::Closed(conn, how));
             let pause = ms(self.rng.u64(0..300));
             match (deletes, status) {
@@ -297,7 +298,7 @@
         self.step(|node, now, _| node.accepted(now, conn, Front::Whip));
         self.step(|node, now, out| node.bytes(now, conn, &bytes[..cut.unwrap_or(bytes.len())], out));
         if cut.is_some() && self.gone(conn) {
-            let how = Closed::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: true };
+            let how = ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: true };
             self.at(ms(1), Event::Closed(conn, how));
         }
     }
@@ -307,7 +308,7 @@
             Event::Opened(conn) => self.step(|node, now, out| node.opened(now, conn, out)),
             Event::Refused(conn) => {
                 self.edges.remove(&conn);
-                self.step(|node, now, out| node.closed(now, conn, &Closed::Refused, out));
+                self.step(|node, now, out| node.closed(now, conn, &ConnectionEnd::Refused, out));
             }
             Event::Answer { conn, bytes, cut, made } => {
                 if !self.edges.contains_key(&conn) {
@@ -322,7 +323,8 @@
                     self.step(|node, now, out| node.bytes(now, conn, heard, out));
                 }
                 if cut.is_some() && self.edges.remove(&conn).is_some() {
-                    let how = Closed::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: true };
+                    let how =
+                        ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: true };
                     self.step(|node, now, out| node.closed(now, conn, &how, out));
                 }
             }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -7,7 +7,7 @@
 use amberspindle::message::binary::{Builder, code};
 use amberspindle::message::{Kind, cause};
 use amberspindle::node::{Front, Node};
-use amberspindle::platform::links::{Closed, Command, ConnId};
+use amberspindle::platform::links::{Command, ConnId, ConnectionEnd};
 use amberspindle::roster::{ListUpdate, ListedServer};
 use serde_json::json;
 use support::{answer, release, settings};
@@ -19,8 +19,9 @@
 }
 
 const ID: SessionId = SessionId(0x9b1f_03aa_5c7e_2d41);
-const UNSENT: Closed = Closed::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: false };
-const RESET: Closed = Closed::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: true };
+const UNSENT: ConnectionEnd =
+    ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: false };
+const RESET: ConnectionEnd = ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: true };
 
 impl World {
     /// Servers send notes each second.
@@ -48,7 +49,7 @@
         self.node.bytes(self.now, conn, bytes, &mut self.out);
     }
 
-    fn closed(&mut self, conn: ConnId, how: &Closed) {
+    fn closed(&mut self, conn: ConnId, how: &ConnectionEnd) {
         self.node.closed(self.now, conn, how, &mut self.out);
     }
 
@@ -86,7 +87,7 @@
     /// Turns down every connection that was asked for.
     fn refuse_all(&mut self) {
         for conn in self.dials() {
-            self.closed(conn, &Closed::Refused);
+            self.closed(conn, &ConnectionEnd::Refused);
         }
     }
 
@@ -207,7 +208,7 @@
     let (viewer, _) = world.playing();
     world.pass(6500);
     let check = world.dials()[0];
-    world.closed(check, &Closed::NoAnswer);
+    world.closed(check, &ConnectionEnd::NoAnswer);
     assert!(world.ended(viewer));
 }
 
@@ -245,7 +246,7 @@
     world.closed(check, &UNSENT);
     world.pass(1000);
     let check = world.dials()[0];
-    world.closed(check, &Closed::Refused);
+    world.closed(check, &ConnectionEnd::Refused);
     assert!(world.ended(viewer));
 }
 
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -8,7 +8,7 @@
 use amberspindle::platform::links::{ConnId, Links};
 use amberspindle::platform::load_report;
 use amberspindle::platform::timings::Timings;
-use amberspindle::platform::viewer::{Said, Viewer};
+use amberspindle::platform::viewer::{Viewer, ViewerMessage};
 use amberspindle::roster::SettingNames;
 use amberspindle::whip::Route;
 use proptest::collection::vec;
@@ -161,7 +161,7 @@
             }
             viewer.feed(piece);
             while let Ok(Some(said)) = viewer.next(Micros(5), &SettingNames::default(), &settings) {
-                assert!(!matches!(said, Said::SetUp(..)), "no class is known");
+                assert!(!matches!(said, ViewerMessage::SetUp(..)), "no class is known");
             }
             requests.feed(piece);
             while let Ok(Some(request)) = requests.next_request(100) {
