--- a/lab/src/world/brokers.rs
+++ b/lab/src/world/brokers.rs
@@ -81,7 +81,7 @@
                 let now = self.queue.now();
                 self.with(broker, |node, out| node.withdrawn(now, conn, id, out));
             }
-            Command::Write(conn, bytes, _) | Command::WriteEnd(conn, bytes) => {
+            Command::Write(conn, bytes, _) | Command::WriteSessionEnd(conn, bytes) => {
                 let line = line(conn);
                 match self.ways.get(&line) {
                     Some(way) => self.queue.after(WAY, Due::ToBox(line, way.of, bytes)),
@@ -89,9 +89,9 @@
                 }
             }
             Command::Close(conn, _)
-            | Command::LetGo(conn, _)
-            | Command::Leave(conn, _)
-            | Command::Cut(conn, _) => {
+            | Command::CloseIfQuiet(conn, _)
+            | Command::LingeringClose(conn, _)
+            | Command::Abort(conn, _) => {
                 let line = line(conn);
                 if let Some(way) = self.ways.get(&line) {
                     self.queue.after(WAY, Due::LeftBox(line, way.of));
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -212,7 +212,7 @@
         };
         for (conn, c) in self.conns.iter_mut().filter(|(_, c)| moved && !c.closing && old(c)) {
             c.closing = true;
-            out.push(Command::Cut(*conn, "moved"));
+            out.push(Command::Abort(*conn, "moved"));
         }
         moved
     }
@@ -357,7 +357,7 @@
         if !c.open {
             c.closing = true;
             c.exchange = None;
-            return out.push(Command::Cut(*conn, "given-up"));
+            return out.push(Command::Abort(*conn, "given-up"));
         }
         if let Some(Exchange { work: Work::SetUp { given_up, .. }, .. }) = &mut c.exchange {
             *given_up = Some(now);
@@ -474,7 +474,7 @@
                 Ok(news) => self.heard(&server, news, told),
                 Err(error) => {
                     c.closing = true;
-                    out.push(Command::Cut(conn, error.code()));
+                    out.push(Command::Abort(conn, error.code()));
                 }
             }
             return;
@@ -501,7 +501,7 @@
             }
             Err(error) => {
                 c.closing = true;
-                out.push(Command::Cut(conn, error.code()));
+                out.push(Command::Abort(conn, error.code()));
                 let (exchange, unfinished) = (c.exchange.take(), c.responses.unfinished().cloned());
                 let address = c.address;
                 if let Some(exchange) = exchange {
@@ -754,7 +754,7 @@
             c.closing = true;
             out.push(match c.exchange {
                 None => Command::Close(conn, "idle"),
-                Some(_) => Command::Cut(conn, "no-answer"),
+                Some(_) => Command::Abort(conn, "no-answer"),
             });
         }
         self.end_due(now, out);
--- a/src/edge/tests.rs
+++ b/src/edge/tests.rs
@@ -219,7 +219,7 @@
     world.pass(29_000);
     assert!(world.pool.has(conn));
     world.pass(31_000);
-    assert!(world.out.contains(&Command::Cut(conn, "no-answer")));
+    assert!(world.out.contains(&Command::Abort(conn, "no-answer")));
 }
 
 /// The same name at another address is another server: what was asked of the old one does not count for it.
@@ -232,7 +232,7 @@
     let paths = Paths { set_up: "/whep/{title}".into(), end: None, events: None };
     let elsewhere = ([127, 0, 0, 1], 81).into();
     assert!(world.pool.listed(&ServerId::new(A), elsewhere, &paths, ServerState::Ready, &mut world.out));
-    assert!(world.out.contains(&Command::Cut(conn, "moved")));
+    assert!(world.out.contains(&Command::Abort(conn, "moved")));
     world.hear(conn, &made("/made/1", ""));
     assert!(world.told.is_empty());
     world.closed(conn, &GONE);
@@ -325,7 +325,7 @@
     assert_eq!(world.told[1..], [over], "once");
     assert!(!world.pool.holds(SessionId(1)));
     world.pass(29_000);
-    assert!(!world.out.contains(&Command::Cut(conn, "no-answer")));
+    assert!(!world.out.contains(&Command::Abort(conn, "no-answer")));
     world.pass(31_000);
-    assert!(world.out.contains(&Command::Cut(conn, "no-answer")), "it has been silent for too long");
+    assert!(world.out.contains(&Command::Abort(conn, "no-answer")), "it has been silent for too long");
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -158,7 +158,7 @@
                 Some(outbox) => outbox.push(bytes, tag),
                 None => info!(event = "unwritten", conn = conn.0, bytes = bytes.len()),
             },
-            Command::WriteEnd(conn, bytes) => {
+            Command::WriteSessionEnd(conn, bytes) => {
                 let outbox = shared.boxes.borrow().get(&conn).cloned();
                 match outbox {
                     Some(outbox) => outbox.push_end(bytes),
@@ -179,17 +179,17 @@
                     outbox.close(reason);
                 }
             }
-            Command::LetGo(conn, reason) => match shared.boxes.borrow().get(&conn) {
+            Command::CloseIfQuiet(conn, reason) => match shared.boxes.borrow().get(&conn) {
                 Some(outbox) if mutant::on(Mutant::CutAtClose) => outbox.cut(reason),
                 Some(outbox) => outbox.let_go(reason),
                 None => {}
             },
-            Command::Leave(conn, reason) => {
+            Command::LingeringClose(conn, reason) => {
                 if let Some(outbox) = shared.boxes.borrow().get(&conn) {
                     outbox.leave(reason);
                 }
             }
-            Command::Cut(conn, reason) => {
+            Command::Abort(conn, reason) => {
                 if let Some(outbox) = shared.boxes.borrow().get(&conn) {
                     outbox.cut(reason);
                 }
--- a/src/node/connections.rs
+++ b/src/node/connections.rs
@@ -82,7 +82,7 @@
                 if let Some(c) = self.viewers.get_mut(&conn) {
                     c.closing = true;
                 }
-                out.push(Command::LetGo(conn, "no-room"));
+                out.push(Command::CloseIfQuiet(conn, "no-room"));
             }
             (_, Some((_, conn))) => {
                 self.whip(now, out, |whip, _, wishes| whip.let_go(conn, wishes));
--- a/src/node/http.rs
+++ b/src/node/http.rs
@@ -27,7 +27,7 @@
                     out.extend(pieces.into_iter().map(|piece| Command::Write(conn, piece, tag)));
                 }
                 Wish::Close(conn, reason) => out.push(Command::Close(conn, reason)),
-                Wish::LetGo(conn, reason) => out.push(Command::LetGo(conn, reason)),
+                Wish::CloseIfQuiet(conn, reason) => out.push(Command::CloseIfQuiet(conn, reason)),
                 Wish::Patch { conn, id, any, body } => self.pass_patch(now, conn, id, any, &body, out),
             }
         }
--- a/src/node/leaving.rs
+++ b/src/node/leaving.rs
@@ -39,7 +39,7 @@
         }
         if self.pool.has(conn) {
             // The exchange is the only one on its connection, and ends with it unsent.
-            out.push(Command::Cut(conn, "withdrawn"));
+            out.push(Command::Abort(conn, "withdrawn"));
             return false;
         }
         self.links.withdraw(conn, id, out);
--- a/src/node/operate.rs
+++ b/src/node/operate.rs
@@ -98,7 +98,7 @@
         }
         for (conn, c) in self.viewers.iter_mut().filter(|(_, c)| !c.closing && c.open.is_empty()) {
             c.closing = true;
-            out.push(Command::LetGo(*conn, "stopping"));
+            out.push(Command::CloseIfQuiet(*conn, "stopping"));
         }
     }
 
@@ -128,7 +128,7 @@
                 out.push(if reason == UNFINISHED {
                     Command::Close(*conn, reason)
                 } else {
-                    Command::LetGo(*conn, reason)
+                    Command::CloseIfQuiet(*conn, reason)
                 });
             }
         }
--- a/src/node/viewers.rs
+++ b/src/node/viewers.rs
@@ -97,7 +97,7 @@
         }
         for (until, bytes) in std::mem::take(&mut self.owed) {
             if until > now {
-                out.push(Command::WriteEnd(conn, bytes));
+                out.push(Command::WriteSessionEnd(conn, bytes));
             }
         }
     }
@@ -201,7 +201,7 @@
         // What is written behind the end of a connection reaches nobody.
         let open = |conn: &ConnId| self.viewers.get(conn).is_some_and(|c| !c.closing && c.asked);
         match home.filter(open).or_else(|| self.viewers.keys().rev().copied().find(open)) {
-            Some(conn) => out.push(Command::WriteEnd(conn, bytes)),
+            Some(conn) => out.push(Command::WriteSessionEnd(conn, bytes)),
             None => {
                 self.owed.push_back((now + OWED_KEPT, bytes));
                 self.owed.drain(..self.owed.len().saturating_sub(self.owed_most));
--- a/src/platform/links.rs
+++ b/src/platform/links.rs
@@ -93,7 +93,7 @@
             self.checked.remove(server);
             for (conn, link) in self.links.iter_mut().filter(|(_, l)| l.server == *server && !l.broken) {
                 link.broken = true;
-                out.push(Command::Cut(*conn, "moved"));
+                out.push(Command::Abort(*conn, "moved"));
             }
         }
         if let Some(before) = self.at.insert(address, server.clone()) {
@@ -199,7 +199,7 @@
         for (id, old) in self.links.iter_mut().filter(|(id, l)| **id != conn && l.server == server) {
             if old.up() && old.set_ups.is_empty() {
                 old.left = true;
-                out.push(Command::Leave(*id, "replaced"));
+                out.push(Command::LingeringClose(*id, "replaced"));
             }
         }
     }
@@ -222,7 +222,7 @@
         link.decoder.feed(bytes);
         if let Err(error) = link.read(&mut heard) {
             link.broken = true;
-            out.push(Command::Cut(conn, error.code()));
+            out.push(Command::Abort(conn, error.code()));
         }
         if heard.iter().any(|heard| matches!(heard, ServerMessage::Note(_, Note::Link(_)))) {
             self.noted = now;
--- a/src/platform/links/ends.rs
+++ b/src/platform/links/ends.rs
@@ -90,7 +90,7 @@
             }
             if !link.broken && link.begun.is_some_and(|at| now - at >= UNFINISHED) {
                 link.broken = true;
-                out.push(Command::Cut(*conn, "unfinished"));
+                out.push(Command::Abort(*conn, "unfinished"));
             }
         }
         let (addresses, links) = (&self.addresses, &self.links);
--- a/src/platform/links/words.rs
+++ b/src/platform/links/words.rs
@@ -14,7 +14,7 @@
     /// Write bytes; a set-up's are marked by its session.
     Write(ConnId, Vec<u8>, Option<SessionId>),
     /// Write the end of a session, which its client has to hear of: see [`crate::node::Node::ends_returned`].
-    WriteEnd(ConnId, Vec<u8>),
+    WriteSessionEnd(ConnId, Vec<u8>),
     /// Take a set-up back if not a byte of it was written; else write this behind it. Unless it is empty,
     /// [`crate::node::Node::withdrawn`] is to be told once either is done.
     Withdraw(ConnId, SessionId, Vec<u8>),
@@ -22,11 +22,11 @@
     Close(ConnId, &'static str),
     /// Write out what is queued, then close, unless the client has said something that was not heard yet: then the
     /// connection stays, see [`crate::node::Node::stays`].
-    LetGo(ConnId, &'static str),
+    CloseIfQuiet(ConnId, &'static str),
     /// Write out what is queued, then only read until the server has closed too: what it wrote before is heard.
-    Leave(ConnId, &'static str),
+    LingeringClose(ConnId, &'static str),
     /// Close at once: what is queued is not written any more.
-    Cut(ConnId, &'static str),
+    Abort(ConnId, &'static str),
 }
 
 /// What an edge server says.
--- a/src/whip/mod.rs
+++ b/src/whip/mod.rs
@@ -72,7 +72,7 @@
     /// End a connection once all is written.
     Close(ConnId, &'static str),
     /// The same, unless its client says something before: see [`Front::stays`].
-    LetGo(ConnId, &'static str),
+    CloseIfQuiet(ConnId, &'static str),
     /// Pass a fragment of trickle ICE on to the session's server; its answer comes by [`Front::patched`].
     Patch {
         /// Who waits for it.
@@ -733,7 +733,7 @@
                 out.push(if unfinished {
                     Wish::Close(*conn, "unfinished")
                 } else {
-                    Wish::LetGo(*conn, "idle")
+                    Wish::CloseIfQuiet(*conn, "idle")
                 });
             }
         }
@@ -750,7 +750,7 @@
     pub fn let_go(&mut self, conn: ConnId, out: &mut Vec<Wish>) {
         if let Some(c) = self.conns.get_mut(&conn) {
             c.closing = true;
-            out.push(Wish::LetGo(conn, "no-room"));
+            out.push(Wish::CloseIfQuiet(conn, "no-room"));
         }
     }
 
--- a/tests/cuts.rs
+++ b/tests/cuts.rs
@@ -154,11 +154,11 @@
                     self.step(|node, now, out| node.withdrawn(now, conn, id, out));
                 }
                 Command::Write(conn, bytes, tag) => self.client_reads(conn, &bytes, tag),
-                Command::WriteEnd(conn, bytes) => self.client_reads(conn, &bytes, None),
+                Command::WriteSessionEnd(conn, bytes) => self.client_reads(conn, &bytes, None),
                 Command::Close(conn, _)
-                | Command::LetGo(conn, _)
-                | Command::Cut(conn, _)
-                | Command::Leave(conn, _) => {
+                | Command::CloseIfQuiet(conn, _)
+                | Command::Abort(conn, _)
+                | Command::LingeringClose(conn, _) => {
                     let known = self.edges.remove(&conn).is_some() | self.gone(conn);
                     if known {
                         let how =
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -94,7 +94,7 @@
     /// What was written on a connection.
     fn written(&self, to: ConnId) -> String {
         let write = |c: &Command| match c {
-            Command::Write(conn, bytes, _) | Command::WriteEnd(conn, bytes) if *conn == to => {
+            Command::Write(conn, bytes, _) | Command::WriteSessionEnd(conn, bytes) if *conn == to => {
                 Some(String::from_utf8_lossy(bytes).into_owned())
             }
             _ => None,
@@ -135,13 +135,13 @@
     /// Connections that are to be closed, in order.
     fn closing(&self) -> Vec<(ConnId, &'static str)> {
         let close = |c: &Command| match c {
-            Command::Close(conn, reason) | Command::LetGo(conn, reason) => Some((*conn, *reason)),
+            Command::Close(conn, reason) | Command::CloseIfQuiet(conn, reason) => Some((*conn, *reason)),
             Command::Dial(..)
             | Command::Write(..)
-            | Command::WriteEnd(..)
+            | Command::WriteSessionEnd(..)
             | Command::Withdraw(..)
-            | Command::Leave(..)
-            | Command::Cut(..) => None,
+            | Command::LingeringClose(..)
+            | Command::Abort(..) => None,
         };
         self.out.iter().filter_map(close).collect()
     }
@@ -259,7 +259,7 @@
     world.pass(6500);
     let check = world.dials()[0];
     world.node.opened(world.now, check, &mut world.out);
-    assert!(world.out.contains(&Command::Leave(edge, "replaced")));
+    assert!(world.out.contains(&Command::LingeringClose(edge, "replaced")));
     // What is new goes out on the new connection.
     let other = SessionId(7);
     world.ask_as(viewer, other);
@@ -301,7 +301,7 @@
     assert!(world.written(old).contains("paid"));
     world.list("s-0", ServerState::Ready, 2);
     assert!(world.ended(viewer), "what stood there is over");
-    assert!(world.out.contains(&Command::Cut(old, "moved")));
+    assert!(world.out.contains(&Command::Abort(old, "moved")));
     world.bytes(old, &answer(paid, "offer").finish().unwrap());
     assert!(!world.written(viewer).contains("0000000000000007"), "nothing more is heard of the old one");
     world.closed(old, &UNSENT);
@@ -507,7 +507,7 @@
     let good = |id| answer(id, "offer").finish().unwrap();
     world.bytes(edge, &[good(ID), vec![0, 3, 9, 9, 9], good(SessionId(2))].concat());
     assert_eq!(world.written(viewer).matches("answer").count(), 1, "what came before it counts");
-    assert!(world.out.contains(&Command::Cut(edge, "bad-length")));
+    assert!(world.out.contains(&Command::Abort(edge, "bad-length")));
     world.out.clear();
     world.bytes(edge, &good(SessionId(3)));
     assert!(world.out.is_empty(), "nothing more is read there");
@@ -530,14 +530,14 @@
     let whole = answer(ID, "offer").finish().unwrap();
     world.bytes(edge, &whole[..whole.len() - 1]);
     world.pass(300);
-    assert!(!world.out.contains(&Command::Cut(edge, "unfinished")));
+    assert!(!world.out.contains(&Command::Abort(edge, "unfinished")));
     world.pass(500);
-    assert!(world.out.contains(&Command::Cut(edge, "unfinished")));
+    assert!(world.out.contains(&Command::Abort(edge, "unfinished")));
     world.closed(edge, &UNSENT);
     let next = world.dials()[0];
     world.node.opened(world.now, next, &mut world.out);
     world.bytes(next, &Builder::new(Kind::Answer, ID).with(code::DESCRIPTION, b"").finish().unwrap());
-    assert!(world.out.contains(&Command::Cut(next, "bad-field")));
+    assert!(world.out.contains(&Command::Abort(next, "bad-field")));
     assert!(!world.written(viewer).contains("answer"));
 }
 
