--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -19,7 +19,7 @@
 use crate::http::uri::encode;
 use crate::platform::links::{Command, ConnId, ConnectionEnd};
 use crate::roster::Paths;
-use news::News;
+use news::EdgeEvent;
 use proof::{Outcome, Proof, proof};
 
 /// Numbers of these connections lie above those of all others.
@@ -59,11 +59,11 @@
 
 /// What is heard of a server.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum PoolEvent {
     /// The session stands there.
     Answer(SessionId, ServerId, Description),
     /// The attempt ended.
-    Over(SessionId, ServerId, Status, Load),
+    Ended(SessionId, ServerId, Status, Load),
     /// A note on a session that stands.
     Note(SessionId, ServerId, Note),
     /// It turned a connection down.
@@ -401,10 +401,10 @@
     }
 
     /// An end was not heard: it is told again later, unless that was tried often enough.
-    fn end_again(&mut self, now: Micros, id: SessionId, told: &mut Vec<Told>) {
+    fn end_again(&mut self, now: Micros, id: SessionId, told: &mut Vec<PoolEvent>) {
         let Some(end) = self.ends.get_mut(&id) else { return };
         if end.tries >= MOST_TRIES {
-            told.push(Told::Log(format!(
+            told.push(PoolEvent::Log(format!(
                 "end not heard id={:016x} at={} tries={}",
                 id.0, end.address, end.tries
             )));
@@ -463,7 +463,7 @@
         now: Micros,
         conn: ConnId,
         bytes: &[u8],
-        told: &mut Vec<Told>,
+        told: &mut Vec<PoolEvent>,
         out: &mut Vec<Command>,
     ) {
         let Some(c) = self.conns.get_mut(&conn).filter(|c| !c.closing) else { return };
@@ -513,18 +513,18 @@
     }
 
     /// What a server told of itself and of its sessions. A note goes to one session, as on the platform.
-    fn heard(&mut self, server: &ServerId, news: Vec<News>, told: &mut Vec<Told>) {
+    fn heard(&mut self, server: &ServerId, news: Vec<EdgeEvent>, told: &mut Vec<PoolEvent>) {
         for news in news {
             let mut there = self.resources.iter().filter(|(_, r)| r.server == *server);
             match news {
-                News::Note(note) => {
-                    told.extend(there.next().map(|(id, _)| Told::Note(*id, server.clone(), note)));
+                EdgeEvent::Note(note) => {
+                    told.extend(there.next().map(|(id, _)| PoolEvent::Note(*id, server.clone(), note)));
                 }
-                News::Ended(path) => {
+                EdgeEvent::Ended(path) => {
                     let id = there.find(|(_, r)| r.path == path).map(|(id, _)| *id);
                     if let Some(id) = id {
                         self.resources.remove(&id);
-                        told.push(Told::Over(id, server.clone(), Status::Completed, Load::default()));
+                        told.push(PoolEvent::Ended(id, server.clone(), Status::Completed, Load::default()));
                     }
                 }
             }
@@ -571,7 +571,7 @@
         address: SocketAddr,
         work: Work,
         response: Response,
-        told: &mut Vec<Told>,
+        told: &mut Vec<PoolEvent>,
         out: &mut Vec<Command>,
     ) {
         match work {
@@ -593,7 +593,7 @@
                 if let (Some(resource), Some(tag)) = (self.resources.get_mut(&id), response.header("etag")) {
                     resource.tag = Some(tag.to_owned());
                 }
-                told.push(Told::Patched(from, id, Some(response)));
+                told.push(PoolEvent::Patched(from, id, Some(response)));
             }
         }
     }
@@ -604,7 +604,7 @@
         address: SocketAddr,
         (id, server, path, given_up): (SessionId, ServerId, String, Option<Micros>),
         response: Response,
-        told: &mut Vec<Told>,
+        told: &mut Vec<PoolEvent>,
         out: &mut Vec<Command>,
     ) {
         let resource = response.header("location").and_then(|l| resource_path(l, &path));
@@ -628,9 +628,9 @@
                 let (tag, ice) = (response.header("etag").map(str::to_owned), ice.collect());
                 let made = Resource { server: server.clone(), address, path, tag, layer, ice };
                 self.resources.insert(id, made);
-                told.push(Told::Answer(id, server.clone(), response.body.as_slice().into()));
+                told.push(PoolEvent::Answer(id, server.clone(), response.body.as_slice().into()));
                 let notes = [report.link.or(report.util).map(Note::Link), report.uplink.map(Note::Uplink)];
-                told.extend(notes.into_iter().flatten().map(|n| Told::Note(id, server.clone(), n)));
+                told.extend(notes.into_iter().flatten().map(|n| PoolEvent::Note(id, server.clone(), n)));
             }
             (stands, resource) => {
                 // A session that nobody waits for any more, or that can't be used, must not play on.
@@ -642,7 +642,7 @@
                         Proof::Over(status) => status,
                         Proof::Stands => Status::Errored,
                     };
-                    told.push(Told::Over(id, server, status, report));
+                    told.push(PoolEvent::Ended(id, server, status, report));
                 }
             }
         }
@@ -657,7 +657,7 @@
         work: Work,
         unfinished: Option<&Response>,
         unsent: bool,
-        told: &mut Vec<Told>,
+        told: &mut Vec<PoolEvent>,
         out: &mut Vec<Command>,
     ) {
         match work {
@@ -678,14 +678,14 @@
                         Proof::Over(status) => status,
                         Proof::Stands => Status::Reset,
                     };
-                    told.push(Told::Over(id, server, status, Load::default()));
+                    told.push(PoolEvent::Ended(id, server, status, Load::default()));
                 } else if !known {
-                    told.push(Told::Log(format!("late answer lost id={:016x} at={address}", id.0)));
+                    told.push(PoolEvent::Log(format!("late answer lost id={:016x} at={address}", id.0)));
                 }
             }
             Work::End(id) => self.end_again(now, id, told),
             Work::Rate | Work::Events(_) => {}
-            Work::Patch { from, id } => told.push(Told::Patched(from, id, None)),
+            Work::Patch { from, id } => told.push(PoolEvent::Patched(from, id, None)),
         }
     }
 
@@ -695,7 +695,7 @@
         now: Micros,
         conn: ConnId,
         how: &ConnectionEnd,
-        told: &mut Vec<Told>,
+        told: &mut Vec<PoolEvent>,
         out: &mut Vec<Command>,
     ) {
         let Some(c) = self.conns.remove(&conn) else { return };
@@ -717,7 +717,7 @@
             }
             if matches!(how, ConnectionEnd::Refused) {
                 let there = self.targets.iter().filter(|(_, t)| t.address == c.address);
-                told.extend(there.map(|(server, _)| Told::Refused(server.clone())));
+                told.extend(there.map(|(server, _)| PoolEvent::Refused(server.clone())));
             }
         } else {
             self.next_waiting(now, c.address, out);
--- a/src/edge/news.rs
+++ b/src/edge/news.rs
@@ -13,7 +13,7 @@
 
 /// Something that a server told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum EdgeEvent {
     /// Of itself.
     Note(Note),
     /// The session at this path is over.
@@ -21,14 +21,14 @@
 }
 
 /// Takes bytes of a stream in; gives what was told. An error, or a status other than 200, ends it.
-pub fn feed(stream: &mut sse::Stream, bytes: &[u8]) -> Result<Vec<News>, HttpError> {
+pub fn feed(stream: &mut sse::Stream, bytes: &[u8]) -> Result<Vec<EdgeEvent>, HttpError> {
     let mut events = Vec::new();
     stream.feed(bytes, &mut events)?;
     Ok(events.iter().flat_map(|event| read(&event.data)).collect())
 }
 
 /// Reads the data of one event; what is not known, or out of its range, is skipped.
-fn read(data: &str) -> Vec<News> {
+fn read(data: &str) -> Vec<EdgeEvent> {
     let value: Value = serde_json::from_str(data).unwrap_or_default();
     let figure = |key: &str| value.get(key).and_then(Value::as_f64).filter(|x| x.is_finite() && *x >= 0.0);
     let notes = [
@@ -36,8 +36,8 @@
         figure("uplink").map(Note::Uplink),
         figure("delivered").filter(|share| *share <= 1.0).map(Note::Delivered),
     ];
-    let ended = value.get("ended").and_then(Value::as_str).map(|path| News::Ended(path.to_owned()));
-    notes.into_iter().flatten().map(News::Note).chain(ended).collect()
+    let ended = value.get("ended").and_then(Value::as_str).map(|path| EdgeEvent::Ended(path.to_owned()));
+    notes.into_iter().flatten().map(EdgeEvent::Note).chain(ended).collect()
 }
 
 #[cfg(test)]
@@ -53,8 +53,8 @@
             for piece in text.as_bytes().chunks(size) {
                 told.extend(feed(&mut stream, piece).unwrap());
             }
-            let load = [News::Note(Note::Link(1.2)), News::Note(Note::Delivered(0.9))];
-            assert_eq!(told, [load.as_slice(), &[News::Ended("/made/1".into())]].concat());
+            let load = [EdgeEvent::Note(Note::Link(1.2)), EdgeEvent::Note(Note::Delivered(0.9))];
+            assert_eq!(told, [load.as_slice(), &[EdgeEvent::Ended("/made/1".into())]].concat());
         }
         let refused = b"HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n";
         assert!(feed(&mut sse::Stream::default(), refused).is_err());
--- a/src/edge/tests.rs
+++ b/src/edge/tests.rs
@@ -17,7 +17,7 @@
     pool: Pool,
     now: Micros,
     out: Vec<Command>,
-    told: Vec<Told>,
+    told: Vec<PoolEvent>,
 }
 
 impl World {
@@ -100,7 +100,11 @@
         let asked = self.written();
         assert!(asked[0].starts_with("POST /whep/blue%20sofa?rung=2 HTTP/1.1\r\n"), "{asked:?}");
         self.hear(conn, &made("/made/1", more));
-        assert!(matches!(self.told.first(), Some(Told::Answer(of, ..)) if of.0 == id), "{:?}", self.told);
+        assert!(
+            matches!(self.told.first(), Some(PoolEvent::Answer(of, ..)) if of.0 == id),
+            "{:?}",
+            self.told
+        );
         conn
     }
 }
@@ -117,8 +121,11 @@
     let mut world = World::new(None);
     let conn = world
         .standing(1, "endpoint-load-metrics: TEXT application_utilization=0.5,named_metrics.uplink=0.2\r\n");
-    let notes: Vec<Note> =
-        world.told.iter().filter_map(|t| if let Told::Note(_, _, n) = t { Some(*n) } else { None }).collect();
+    let notes: Vec<Note> = world
+        .told
+        .iter()
+        .filter_map(|t| if let PoolEvent::Note(_, _, n) = t { Some(*n) } else { None })
+        .collect();
     assert_eq!(notes, [Note::Link(0.5), Note::Uplink(0.2)]);
     world.pool.release(world.now, SessionId(1), &mut world.out);
     assert!(world.written()[0].starts_with("DELETE /made/1 HTTP/1.1\r\n"));
@@ -143,7 +150,9 @@
         }
     }
     assert_eq!((tries, world.pool.ending()), (MOST_TRIES as usize, 0));
-    assert!(world.told.iter().any(|t| matches!(t, Told::Log(line) if line.starts_with("end not heard"))));
+    assert!(
+        world.told.iter().any(|t| matches!(t, PoolEvent::Log(line) if line.starts_with("end not heard")))
+    );
 }
 
 /// The server may make the session after it was first asked to end it.
@@ -155,7 +164,10 @@
     world.open(conn);
     world.written();
     world.closed(conn, &GONE);
-    assert_eq!(world.told, [Told::Over(SessionId(0xab), ServerId::new(A), Status::Reset, Load::default())]);
+    assert_eq!(
+        world.told,
+        [PoolEvent::Ended(SessionId(0xab), ServerId::new(A), Status::Reset, Load::default())]
+    );
     let mut tries = 0;
     for n in 1..200 {
         for conn in world.dials() {
@@ -195,9 +207,9 @@
     // The server turns one down: all that wait for a connection are told, with proof.
     world.told.clear();
     world.closed(dials[1], &ConnectionEnd::Refused);
-    let over = |t: &&Told| matches!(t, Told::Over(_, _, Status::ConnectFailed, _));
+    let over = |t: &&PoolEvent| matches!(t, PoolEvent::Ended(_, _, Status::ConnectFailed, _));
     assert_eq!(world.told.iter().filter(over).count(), 1 + MOST_WAITING - 2);
-    assert!(world.told.contains(&Told::Refused(ServerId::new(A))));
+    assert!(world.told.contains(&PoolEvent::Refused(ServerId::new(A))));
 }
 
 #[test]
@@ -236,7 +248,10 @@
     world.hear(conn, &made("/made/1", ""));
     assert!(world.told.is_empty());
     world.closed(conn, &GONE);
-    assert_eq!(world.told, [Told::Over(SessionId(1), ServerId::new(A), Status::Reset, Load::default())]);
+    assert_eq!(
+        world.told,
+        [PoolEvent::Ended(SessionId(1), ServerId::new(A), Status::Reset, Load::default())]
+    );
 }
 
 #[test]
@@ -303,7 +318,7 @@
             world.pool.bytes(world.now, conn, &piece, &mut world.told, &mut world.out);
         }
         world.closed(conn, &GONE);
-        let settled = |t: &&Told| matches!(t, Told::Answer(..) | Told::Over(..));
+        let settled = |t: &&PoolEvent| matches!(t, PoolEvent::Answer(..) | PoolEvent::Ended(..));
         prop_assert_eq!(world.told.iter().filter(settled).count(), 1, "{:?}", world.told);
     });
 }
@@ -319,9 +334,9 @@
     assert!(world.written()[0].starts_with("GET /events HTTP/1.1\r\n"));
     let conn = world.pool.conns.iter().find(|(_, c)| c.exchange.is_some()).map(|(id, _)| *id).unwrap();
     world.hear(conn, "HTTP/1.1 200 OK\r\n\r\ndata: {\"link\":0.8}\n\n");
-    assert_eq!(world.told, [Told::Note(SessionId(1), ServerId::new(A), Note::Link(0.8))]);
+    assert_eq!(world.told, [PoolEvent::Note(SessionId(1), ServerId::new(A), Note::Link(0.8))]);
     world.hear(conn, "data: {\"ended\":\"/made/1\"}\n\ndata: {\"ended\":\"/made/1\"}\n\n");
-    let over = Told::Over(SessionId(1), ServerId::new(A), Status::Completed, Load::default());
+    let over = PoolEvent::Ended(SessionId(1), ServerId::new(A), Status::Completed, Load::default());
     assert_eq!(world.told[1..], [over], "once");
     assert!(!world.pool.holds(SessionId(1)));
     world.pass(29_000);
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -5,7 +5,7 @@
 use super::Node;
 use crate::api::*;
 use crate::broker::{Input, SetUp};
-use crate::edge::Told;
+use crate::edge::PoolEvent;
 use crate::platform::links::{Command, ServerMessage, Withdrawal, status};
 use crate::roster::ListUpdate;
 
@@ -105,17 +105,17 @@
     }
 
     /// What servers that speak WHIP or WHEP tell.
-    pub(super) fn told(&mut self, now: Micros, told: Vec<Told>, out: &mut Vec<Command>) {
+    pub(super) fn told(&mut self, now: Micros, told: Vec<PoolEvent>, out: &mut Vec<Command>) {
         for told in told {
             match told {
-                Told::Answer(id, server, answer) => {
+                PoolEvent::Answer(id, server, answer) => {
                     self.tell(now, Input::Established { id, server, answer }, out)
                 }
-                Told::Over(id, server, status, load) => {
+                PoolEvent::Ended(id, server, status, load) => {
                     self.tell(now, Input::Ended { id, server, status, load }, out);
                 }
-                Told::Note(id, server, note) => self.tell(now, Input::Note { id, server, note }, out),
-                Told::Refused(server) => {
+                PoolEvent::Note(id, server, note) => self.tell(now, Input::Note { id, server, note }, out),
+                PoolEvent::Refused(server) => {
                     // One that drains may turn connections down while its sessions play.
                     let ready = self.servers.get(&server).is_some_and(|(s, _)| *s == ServerState::Ready);
                     if ready && self.broker.has_established_at(&server) {
@@ -123,11 +123,11 @@
                         self.tell(now, Input::ServerLost(server), out);
                     }
                 }
-                Told::Patched(conn, id, answer) => {
+                PoolEvent::Patched(conn, id, answer) => {
                     self.whip(now, out, |whip, _, wishes| whip.patched(conn, id, answer, wishes));
                     self.whip(now, out, |whip, sure, wishes| whip.read_on(now, sure, wishes));
                 }
-                Told::Log(line) => self.log.push(line),
+                PoolEvent::Log(line) => self.log.push(line),
             }
         }
     }
