--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -11,7 +11,7 @@
 use amberspindle::api::{Idempotency, ListKind, Micros, ServerEntry, ServerId, ServerState, SessionId, Text};
 use amberspindle::message::binary::{Builder, Decoder, code};
 use amberspindle::message::{Kind, cause};
-use amberspindle::node::{Front, Node};
+use amberspindle::node::{Node, Protocol};
 use amberspindle::platform::links::{Command, ConnId, ConnectionEnd};
 use amberspindle::roster::{ListUpdate, ListedServer};
 use serde_json::{Value, json};
--- a/lab/src/world/viewers.rs
+++ b/lab/src/world/viewers.rs
@@ -42,7 +42,7 @@
             None => {
                 let conn = self.slots[broker].node.number();
                 self.slots[broker].viewers = Some(conn);
-                self.with(broker, |node, _| node.accepted(now, conn, Front::Platform));
+                self.with(broker, |node, _| node.accepted(now, conn, Protocol::Platform));
                 conn
             }
         };
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -15,7 +15,7 @@
 use super::reading::code;
 use super::room::until_room;
 use super::{Handle, micros, step};
-use crate::node::Front;
+use crate::node::Protocol;
 
 /// Time before the next try after a connection could not be accepted: descriptors may be free again by then.
 const AGAIN: Duration = Duration::from_millis(20);
@@ -23,7 +23,7 @@
 /// One listening socket.
 pub(super) struct Door {
     pub(super) listener: Async<TcpListener>,
-    pub(super) front: Front,
+    pub(super) front: Protocol,
     /// Whether this process serves, where another may hold the socket too.
     pub(super) gate: Option<Rc<Handover>>,
     /// Rings when the socket is to go.
@@ -38,7 +38,7 @@
     LastCall,
 }
 
-fn take(shared: &Handle, stream: Async<TcpStream>, peer: SocketAddr, front: Front) {
+fn take(shared: &Handle, stream: Async<TcpStream>, peer: SocketAddr, front: Protocol) {
     shared.accepted.set(shared.accepted.get() + 1);
     shared.executor.spawn(serve(shared.clone(), stream, peer, front)).detach();
 }
--- a/src/net/conns.rs
+++ b/src/net/conns.rs
@@ -15,7 +15,7 @@
 use super::reading::{code, within};
 use super::room::Linked;
 use super::{Handle, micros, step, tell_withdrawn};
-use crate::node::Front;
+use crate::node::Protocol;
 use crate::platform::links::{ConnId, ConnectionEnd};
 
 /// A server, a caller or another broker that takes nothing for so long while there is something to write is let go. For
@@ -178,7 +178,7 @@
     }
 }
 
-pub(super) async fn serve(shared: Handle, stream: Async<TcpStream>, peer: SocketAddr, front: Front) {
+pub(super) async fn serve(shared: Handle, stream: Async<TcpStream>, peer: SocketAddr, front: Protocol) {
     let _ = stream.get_ref().set_nodelay(true);
     let stream = Rc::new(stream);
     let outbox = Rc::new(Outbox::new(&shared.queues.clients));
--- a/src/net/run.rs
+++ b/src/net/run.rs
@@ -24,7 +24,7 @@
 use crate::board::Board;
 use crate::config::Config;
 use crate::eureka::Eureka;
-use crate::node::Front;
+use crate::node::Protocol;
 use crate::quorum::Incarnation;
 use crate::quorum::fronts::FleetPosition;
 use crate::records::Findings;
@@ -94,10 +94,10 @@
 fn open_doors(shared: &Handle, config: &Config, handover: Option<&Rc<Handover>>) -> io::Result<Doors> {
     let mut doors = Doors::default();
     let whip = config.whip.as_ref().map(|w| w.listen);
-    for (address, front) in [(config.listen, Front::Platform), (whip, Front::Whip)] {
+    for (address, front) in [(config.listen, Protocol::Platform), (whip, Protocol::Whip)] {
         let Some(address) = address else { continue };
-        let field = if front == Front::Whip { "whip.listen" } else { "listen" };
-        let inherited = config.inherited.filter(|_| front == Front::Platform);
+        let field = if front == Protocol::Whip { "whip.listen" } else { "listen" };
+        let inherited = config.inherited.filter(|_| front == Protocol::Platform);
         let listener = match inherited {
             Some(number) => Async::new(inherit::listener(number)?)?,
             None => bind(field, address)?,
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -7,7 +7,7 @@
 use super::conns::{Towards, drive};
 use super::reading::TURN;
 use super::*;
-use crate::node::Front;
+use crate::node::Protocol;
 
 /// What drivers share, as the example configuration has it.
 fn process() -> (Handle, Config) {
@@ -23,7 +23,7 @@
     let outbox = Rc::new(Outbox::new(&shared.queues.clients));
     let conn = step(shared, |node, _, _| node.number());
     shared.boxes.borrow_mut().insert(conn, outbox.clone());
-    step(shared, |node, now, _| node.accepted(now, conn, Front::Platform));
+    step(shared, |node, now, _| node.accepted(now, conn, Protocol::Platform));
     (conn, stream, outbox)
 }
 
--- a/src/node/connections.rs
+++ b/src/node/connections.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::viewer_conn::ViewerConn;
-use super::{Front, Node};
+use super::{Node, Protocol};
 use crate::api::*;
 use crate::broker::Input;
 use crate::platform::links::{Command, ConnId, ConnectionEnd, LostConnection, ServerStatus};
@@ -15,8 +15,8 @@
     }
 
     /// A client's connection was accepted.
-    pub fn accepted(&mut self, now: Micros, conn: ConnId, front: Front) {
-        if front == Front::Whip {
+    pub fn accepted(&mut self, now: Micros, conn: ConnId, front: Protocol) {
+        if front == Protocol::Whip {
             if let Some(whip) = &mut self.whip {
                 whip.accepted(now, conn);
             }
--- a/src/node/http.rs
+++ b/src/node/http.rs
@@ -4,7 +4,7 @@
 use crate::api::*;
 use crate::broker::Input;
 use crate::platform::links::{Command, ConnId};
-use crate::whip::{self, Wish};
+use crate::whip::{self, FrontAction};
 
 impl Node {
     /// Lets the WHIP front do something, then does what it wishes.
@@ -12,7 +12,7 @@
         &mut self,
         now: Micros,
         out: &mut Vec<Command>,
-        act: impl FnOnce(&mut whip::Front, &dyn Fn(SessionId) -> bool, &mut Vec<Wish>),
+        act: impl FnOnce(&mut whip::WhipFront, &dyn Fn(SessionId) -> bool, &mut Vec<FrontAction>),
     ) {
         let mut wishes = Vec::new();
         if let Some(whip) = &mut self.whip {
@@ -21,14 +21,14 @@
         }
         for wish in wishes {
             match wish {
-                Wish::Tell(Input::Request(request, offer)) => self.ask(now, request, offer, out),
-                Wish::Tell(input) => self.tell(now, input, out),
-                Wish::Write(conn, pieces, tag) => {
+                FrontAction::Tell(Input::Request(request, offer)) => self.ask(now, request, offer, out),
+                FrontAction::Tell(input) => self.tell(now, input, out),
+                FrontAction::Write(conn, pieces, tag) => {
                     out.extend(pieces.into_iter().map(|piece| Command::Write(conn, piece, tag)));
                 }
-                Wish::Close(conn, reason) => out.push(Command::Close(conn, reason)),
-                Wish::CloseIfQuiet(conn, reason) => out.push(Command::CloseIfQuiet(conn, reason)),
-                Wish::Patch { conn, id, any, body } => self.pass_patch(now, conn, id, any, &body, out),
+                FrontAction::Close(conn, reason) => out.push(Command::Close(conn, reason)),
+                FrontAction::CloseIfQuiet(conn, reason) => out.push(Command::CloseIfQuiet(conn, reason)),
+                FrontAction::Patch { conn, id, any, body } => self.pass_patch(now, conn, id, any, &body, out),
             }
         }
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -41,19 +41,19 @@
 
 /// What a connection that was accepted speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Front {
+pub enum Protocol {
     /// The platform's JSON lines.
     Platform,
     /// WHIP and WHEP over HTTP.
     Whip,
 }
 
-impl Front {
+impl Protocol {
     /// Its name in the log.
     pub fn name(self) -> &'static str {
         match self {
-            Front::Platform => "viewer",
-            Front::Whip => "http",
+            Protocol::Platform => "viewer",
+            Protocol::Whip => "http",
         }
     }
 }
@@ -67,7 +67,7 @@
     /// Servers that speak WHIP or WHEP.
     pool: Pool,
     viewers: BTreeMap<ConnId, ViewerConn>,
-    whip: Option<whip::Front>,
+    whip: Option<whip::WhipFront>,
     hook: Option<Hook>,
     /// The connection that a session was set up on.
     homes: BTreeMap<SessionId, ConnId>,
@@ -116,7 +116,11 @@
             pool: Pool::default(),
             viewers: BTreeMap::new(),
             whip: config.whip.as_ref().map(|w| {
-                whip::Front::new(w.setup.clone(), config.settings.classes.clone(), config.seed ^ WHIP_SEED)
+                whip::WhipFront::new(
+                    w.setup.clone(),
+                    config.settings.classes.clone(),
+                    config.seed ^ WHIP_SEED,
+                )
             }),
             hook: config.hook.as_ref().and_then(|(text, operations)| Hook::new(text, *operations).ok()),
             homes: BTreeMap::new(),
--- a/src/whip/events.rs
+++ b/src/whip/events.rs
@@ -7,7 +7,7 @@
 //! | `moved` | `{}` | the session ends, its client is to come again |
 //! | `ended` | `{}` | the session is over |
 
-use super::{Front, Session, Wish};
+use super::{FrontAction, Session, WhipFront};
 use crate::api::{Micros, Rung, SessionId};
 use crate::http::server::Response;
 use crate::platform::links::ConnId;
@@ -40,7 +40,7 @@
     chunk(&format!("event: {name}\ndata: {data}\n\n"))
 }
 
-impl Front {
+impl WhipFront {
     /// Whether a session of this front stands.
     pub(super) fn standing(&self, id: SessionId) -> bool {
         self.sessions.get(&id).is_some_and(|s| s.answer.is_some())
@@ -52,7 +52,7 @@
         now: Micros,
         conn: ConnId,
         id: SessionId,
-        out: &mut Vec<Wish>,
+        out: &mut Vec<FrontAction>,
     ) -> Option<Response> {
         let (Some(session), Some(c)) = (self.sessions.get_mut(&id), self.conns.get_mut(&conn)) else {
             return Some(super::no_session());
@@ -68,25 +68,27 @@
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nAccess-Control-Allow-Origin: {}\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n",
             self.setup.origin
         );
-        out.push(Wish::Write(conn, [head.into_bytes(), comment()], None));
+        out.push(FrontAction::Write(conn, [head.into_bytes(), comment()], None));
         None
     }
 
     /// The broker changed a session's rung.
-    pub fn rated(&mut self, id: SessionId, rung: Rung, out: &mut Vec<Wish>) {
+    pub fn rated(&mut self, id: SessionId, rung: Rung, out: &mut Vec<FrontAction>) {
         let Some(session) = self.sessions.get(&id) else { return };
         let told = event("rung", &serde_json::json!({"rung": rung.0}));
-        out.extend(session.streams.iter().map(|conn| Wish::Write(*conn, [told.clone(), Vec::new()], None)));
+        out.extend(
+            session.streams.iter().map(|conn| FrontAction::Write(*conn, [told.clone(), Vec::new()], None)),
+        );
     }
 
     /// The last event, and the end of the streams.
-    pub(super) fn hang_up(&mut self, session: &Session, name: &str, out: &mut Vec<Wish>) {
+    pub(super) fn hang_up(&mut self, session: &Session, name: &str, out: &mut Vec<FrontAction>) {
         for conn in &session.streams {
             let Some(c) = self.conns.get_mut(conn) else { continue };
             (c.waits, c.closing) = (None, true);
             let last = event(name, &serde_json::json!({}));
-            out.push(Wish::Write(*conn, [last, b"0\r\n\r\n".to_vec()], None));
-            out.push(Wish::Close(*conn, "done"));
+            out.push(FrontAction::Write(*conn, [last, b"0\r\n\r\n".to_vec()], None));
+            out.push(FrontAction::Close(*conn, "done"));
         }
     }
 }
--- a/src/whip/mod.rs
+++ b/src/whip/mod.rs
@@ -64,16 +64,16 @@
 
 /// What the front wants done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Wish {
+pub enum FrontAction {
     /// Tell the core.
     Tell(Input),
     /// Write a response; what carries a session's answer is marked by it.
     Write(ConnId, [Vec<u8>; 2], Option<SessionId>),
     /// End a connection once all is written.
     Close(ConnId, &'static str),
-    /// The same, unless its client says something before: see [`Front::stays`].
+    /// The same, unless its client says something before: see [`WhipFront::stays`].
     CloseIfQuiet(ConnId, &'static str),
-    /// Pass a fragment of trickle ICE on to the session's server; its answer comes by [`Front::patched`].
+    /// Pass a fragment of trickle ICE on to the session's server; its answer comes by [`WhipFront::patched`].
     Patch {
         /// Who waits for it.
         conn: ConnId,
@@ -142,7 +142,7 @@
 }
 
 /// The front.
-pub struct Front {
+pub struct WhipFront {
     setup: Setup,
     classes: Vec<Class>,
     rng: fastrand::Rng,
@@ -158,12 +158,12 @@
     hasher.finish()
 }
 
-impl Front {
+impl WhipFront {
     /// A front for these classes.
-    pub fn new(setup: Setup, classes: Vec<Class>, seed: u64) -> Front {
+    pub fn new(setup: Setup, classes: Vec<Class>, seed: u64) -> WhipFront {
         let rng = fastrand::Rng::with_seed(seed);
         let (conns, sessions, bookings) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        Front { setup, classes, rng, conns, sessions, bookings, stopping: false }
+        WhipFront { setup, classes, rng, conns, sessions, bookings, stopping: false }
     }
 
     /// From now on new requests follow this set-up.
@@ -208,7 +208,7 @@
 
     /// An attempt is about to leave for a session: whether nobody waits for its answer any more. It is over then, and
     /// its booking free again, as nothing has run.
-    pub fn deserted(&mut self, now: Micros, id: SessionId, out: &mut Vec<Wish>) -> bool {
+    pub fn deserted(&mut self, now: Micros, id: SessionId, out: &mut Vec<FrontAction>) -> bool {
         let deserted = self.sessions.get(&id).is_some_and(|s| s.waiters.is_empty() && s.answer.is_none());
         if deserted {
             self.end(now, id, true, out);
@@ -233,7 +233,7 @@
         conn: ConnId,
         bytes: &[u8],
         nothing_ran: &dyn Fn(SessionId) -> bool,
-        out: &mut Vec<Wish>,
+        out: &mut Vec<FrontAction>,
     ) {
         let Some(c) = self.conns.get_mut(&conn) else { return };
         if c.closing {
@@ -242,7 +242,7 @@
         c.used = now;
         c.decoder.feed(bytes);
         if c.waits.is_some() && c.decoder.held() > MOST_AHEAD {
-            return out.push(Wish::Close(conn, "too-far-ahead"));
+            return out.push(FrontAction::Close(conn, "too-far-ahead"));
         }
         self.requests(now, conn, nothing_ran, out);
     }
@@ -253,7 +253,7 @@
         now: Micros,
         conn: ConnId,
         nothing_ran: &dyn Fn(SessionId) -> bool,
-        out: &mut Vec<Wish>,
+        out: &mut Vec<FrontAction>,
     ) {
         while let Some(c) = self.conns.get_mut(&conn).filter(|c| c.waits.is_none() && !c.closing) {
             match c.decoder.next_request(LONGEST_OFFER) {
@@ -263,7 +263,7 @@
                 }
                 Ok(None) => {
                     if c.decoder.expects(LONGEST_OFFER) {
-                        out.push(Wish::Write(
+                        out.push(FrontAction::Write(
                             conn,
                             [b"HTTP/1.1 100 Continue\r\n\r\n".to_vec(), Vec::new()],
                             None,
@@ -287,7 +287,7 @@
         response: Response,
         keep_alive: bool,
         carries: Option<SessionId>,
-        out: &mut Vec<Wish>,
+        out: &mut Vec<FrontAction>,
     ) {
         let response = response
             .with("Access-Control-Allow-Origin", &self.setup.origin)
@@ -299,13 +299,13 @@
         if self.conns.get_mut(&conn).is_some_and(|c| std::mem::take(&mut c.head_only)) {
             pieces[1].clear();
         }
-        out.push(Wish::Write(conn, pieces, carries));
+        out.push(FrontAction::Write(conn, pieces, carries));
         if !keep_alive {
             if let Some(c) = self.conns.get_mut(&conn) {
                 c.closing = true;
             }
             let reason = if matches!(status, 400 | 413 | 431 | 505) { "bad-request" } else { "done" };
-            out.push(Wish::Close(conn, reason));
+            out.push(FrontAction::Close(conn, reason));
         }
     }
 
@@ -315,7 +315,7 @@
         conn: ConnId,
         request: HttpRequest,
         nothing_ran: &dyn Fn(SessionId) -> bool,
-        out: &mut Vec<Wish>,
+        out: &mut Vec<FrontAction>,
     ) {
         let keep = request.keep_alive;
         if let Some(c) = self.conns.get_mut(&conn) {
@@ -409,7 +409,7 @@
         title: &Title,
         booking: Option<String>,
         request: HttpRequest,
-        out: &mut Vec<Wish>,
+        out: &mut Vec<FrontAction>,
     ) -> Option<Response> {
         let class = self.classes.get(title.class)?;
         let paid = class.idempotency != crate::api::Idempotency::Safe;
@@ -484,7 +484,7 @@
         if let Some(c) = self.conns.get_mut(&conn) {
             c.waits = Some((id, request.keep_alive));
         }
-        out.push(Wish::Tell(Input::Request(ask, request.body.into())));
+        out.push(FrontAction::Tell(Input::Request(ask, request.body.into())));
         None
     }
 
@@ -505,10 +505,10 @@
     }
 
     /// Ends a session, or gives its set-up up; whoever waits for it gets the one answer.
-    fn end(&mut self, now: Micros, id: SessionId, nothing_ran: bool, out: &mut Vec<Wish>) {
+    fn end(&mut self, now: Micros, id: SessionId, nothing_ran: bool, out: &mut Vec<FrontAction>) {
         let Some(session) = self.sessions.remove(&id) else { return };
         self.hang_up(&session, "ended", out);
-        out.push(Wish::Tell(Input::ClientLeft(id)));
+        out.push(FrontAction::Tell(Input::ClientLeft(id)));
         if let Some(key) = session.booking {
             // The booking stays spent, unless it is certain that nothing ran.
             if nothing_ran && session.answer.is_none() {
@@ -538,7 +538,7 @@
         waiters: &BTreeSet<ConnId>,
         response: &Response,
         carries: Option<SessionId>,
-        out: &mut Vec<Wish>,
+        out: &mut Vec<FrontAction>,
     ) {
         for conn in waiters {
             let Some(c) = self.conns.get_mut(conn) else { continue };
@@ -557,7 +557,7 @@
         conn: ConnId,
         id: SessionId,
         request: HttpRequest,
-        out: &mut Vec<Wish>,
+        out: &mut Vec<FrontAction>,
     ) -> Option<Response> {
         let Some(session) = self.sessions.get(&id).filter(|s| s.answer.is_some()) else {
             return Some(no_session());
@@ -581,7 +581,7 @@
             c.waits = Some((id, request.keep_alive));
         }
         let any = asked.trim() == "*";
-        out.push(Wish::Patch { conn, id, any, body: request.body });
+        out.push(FrontAction::Patch { conn, id, any, body: request.body });
         None
     }
 
@@ -591,7 +591,7 @@
         conn: ConnId,
         id: SessionId,
         answer: Option<crate::http::client::Response>,
-        out: &mut Vec<Wish>,
+        out: &mut Vec<FrontAction>,
     ) {
         let response = match answer {
             None => Response::problem(502, "patch-failed", "the server gave no answer"),
@@ -618,11 +618,17 @@
     }
 
     /// The session's server takes no fragments.
-    pub fn unpatchable(&mut self, conn: ConnId, id: SessionId, out: &mut Vec<Wish>) {
+    pub fn unpatchable(&mut self, conn: ConnId, id: SessionId, out: &mut Vec<FrontAction>) {
         self.patch_response(conn, id, not_allowed("DELETE, OPTIONS"), out);
     }
 
-    fn patch_response(&mut self, conn: ConnId, id: SessionId, response: Response, out: &mut Vec<Wish>) {
+    fn patch_response(
+        &mut self,
+        conn: ConnId,
+        id: SessionId,
+        response: Response,
+        out: &mut Vec<FrontAction>,
+    ) {
         let Some(c) = self.conns.get_mut(&conn) else { return };
         if let Some((_, keep)) = c.waits.take_if(|(of, _)| *of == id) {
             self.respond(conn, response, keep, None, out);
@@ -636,7 +642,7 @@
         id: SessionId,
         answer: Description,
         ice: Vec<String>,
-        out: &mut Vec<Wish>,
+        out: &mut Vec<FrontAction>,
     ) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let waiters = std::mem::take(&mut session.waiters);
@@ -652,7 +658,7 @@
     }
 
     /// Refused: coming again is harmless, and the booking is free again.
-    pub fn refused(&mut self, id: SessionId, wait: Micros, out: &mut Vec<Wish>) {
+    pub fn refused(&mut self, id: SessionId, wait: Micros, out: &mut Vec<FrontAction>) {
         let Some(session) = self.sessions.remove(&id) else { return };
         if let Some(key) = session.booking {
             self.bookings.remove(&key);
@@ -664,7 +670,7 @@
     }
 
     /// Failed.
-    pub fn failed(&mut self, now: Micros, id: SessionId, why: Failure, out: &mut Vec<Wish>) {
+    pub fn failed(&mut self, now: Micros, id: SessionId, why: Failure, out: &mut Vec<FrontAction>) {
         let Some(session) = self.sessions.remove(&id) else { return };
         let status = if why.deadline { 504 } else { 502 };
         if let Some(key) = session.booking {
@@ -680,7 +686,7 @@
     }
 
     /// A session that stood is over, or moved: then its client is to come again.
-    pub fn over(&mut self, now: Micros, id: SessionId, moved: bool, out: &mut Vec<Wish>) {
+    pub fn over(&mut self, now: Micros, id: SessionId, moved: bool, out: &mut Vec<FrontAction>) {
         let Some(session) = self.sessions.remove(&id) else { return };
         self.hang_up(&session, if moved { "moved" } else { "ended" }, out);
         if let Some(key) = session.booking {
@@ -689,7 +695,13 @@
     }
 
     /// A connection has ended; of the answers named, not all was written.
-    pub fn closed(&mut self, now: Micros, conn: ConnId, unfinished: &[SessionId], out: &mut Vec<Wish>) {
+    pub fn closed(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        unfinished: &[SessionId],
+        out: &mut Vec<FrontAction>,
+    ) {
         let Some(c) = self.conns.remove(&conn) else { return };
         let waits = c.waits.map(|(id, _)| id);
         for id in waits.into_iter().chain(unfinished.iter().copied()) {
@@ -702,7 +714,7 @@
             if session.booking.is_none() {
                 // Nobody knows of it: it may be set up again without harm.
                 self.sessions.remove(&id);
-                out.push(Wish::Tell(Input::ClientLeft(id)));
+                out.push(FrontAction::Tell(Input::ClientLeft(id)));
             } else if session.answer.is_some() {
                 session.lost_at = Some(now + self.setup.reclaim);
             }
@@ -711,7 +723,7 @@
     }
 
     /// Time has passed. Requests that waited their turn are read on.
-    pub fn tick(&mut self, now: Micros, nothing_ran: &dyn Fn(SessionId) -> bool, out: &mut Vec<Wish>) {
+    pub fn tick(&mut self, now: Micros, nothing_ran: &dyn Fn(SessionId) -> bool, out: &mut Vec<FrontAction>) {
         let due = |s: &Session| s.lost_at.is_some_and(|at| at <= now);
         let lost: Vec<SessionId> = self.sessions.iter().filter(|(_, s)| due(s)).map(|(id, _)| *id).collect();
         for id in lost {
@@ -722,7 +734,7 @@
         for (conn, c) in &mut self.conns {
             if c.waits.is_some() && c.streams && now - c.used >= events::COMMENT_EVERY {
                 c.used = now;
-                out.push(Wish::Write(*conn, [events::comment(), Vec::new()], None));
+                out.push(FrontAction::Write(*conn, [events::comment(), Vec::new()], None));
             }
             if c.waits.is_some() || c.closing {
                 continue;
@@ -731,9 +743,9 @@
             if unfinished || now - c.used > IDLE {
                 c.closing = true;
                 out.push(if unfinished {
-                    Wish::Close(*conn, "unfinished")
+                    FrontAction::Close(*conn, "unfinished")
                 } else {
-                    Wish::CloseIfQuiet(*conn, "idle")
+                    FrontAction::CloseIfQuiet(*conn, "idle")
                 });
             }
         }
@@ -747,10 +759,10 @@
     }
 
     /// Lets a connection go, as descriptors are short.
-    pub fn let_go(&mut self, conn: ConnId, out: &mut Vec<Wish>) {
+    pub fn let_go(&mut self, conn: ConnId, out: &mut Vec<FrontAction>) {
         if let Some(c) = self.conns.get_mut(&conn) {
             c.closing = true;
-            out.push(Wish::CloseIfQuiet(conn, "no-room"));
+            out.push(FrontAction::CloseIfQuiet(conn, "no-room"));
         }
     }
 
@@ -762,7 +774,12 @@
     }
 
     /// Reads requests that came behind one that has been answered by now.
-    pub fn read_on(&mut self, now: Micros, nothing_ran: &dyn Fn(SessionId) -> bool, out: &mut Vec<Wish>) {
+    pub fn read_on(
+        &mut self,
+        now: Micros,
+        nothing_ran: &dyn Fn(SessionId) -> bool,
+        out: &mut Vec<FrontAction>,
+    ) {
         let behind = |c: &Conn| c.waits.is_none() && !c.closing && c.decoder.held() > 0;
         let ready: Vec<ConnId> = self.conns.iter().filter(|(_, c)| behind(c)).map(|(id, _)| *id).collect();
         for conn in ready {
--- a/tests/cuts.rs
+++ b/tests/cuts.rs
@@ -11,7 +11,7 @@
 use amberspindle::config::Config;
 use amberspindle::http::client::Responses;
 use amberspindle::http::server::Decoder;
-use amberspindle::node::{Front, Node};
+use amberspindle::node::{Node, Protocol};
 use amberspindle::platform::links::{Command, ConnId, ConnectionEnd};
 use amberspindle::roster::ListUpdate;
 use support::{http, settings};
@@ -295,7 +295,7 @@
         let (asked, responses, answers) = (self.now, Responses::default(), Vec::new());
         let whole = cut.is_none_or(|cut| cut == bytes.len());
         self.clients.insert(conn, Client { booking, tries, deletes, whole, asked, responses, answers });
-        self.step(|node, now, _| node.accepted(now, conn, Front::Whip));
+        self.step(|node, now, _| node.accepted(now, conn, Protocol::Whip));
         self.step(|node, now, out| node.bytes(now, conn, &bytes[..cut.unwrap_or(bytes.len())], out));
         if cut.is_some() && self.gone(conn) {
             let how = ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: true };
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -6,7 +6,7 @@
 use amberspindle::config::Config;
 use amberspindle::message::binary::{Builder, code};
 use amberspindle::message::{Kind, cause};
-use amberspindle::node::{Front, Node};
+use amberspindle::node::{Node, Protocol};
 use amberspindle::platform::links::{Command, ConnId, ConnectionEnd};
 use amberspindle::roster::{ListUpdate, ListedServer};
 use serde_json::json;
@@ -41,7 +41,7 @@
 
     fn viewer(&mut self) -> ConnId {
         let conn = self.node.number();
-        self.node.accepted(self.now, conn, Front::Platform);
+        self.node.accepted(self.now, conn, Protocol::Platform);
         conn
     }
 
