--- a/tests/answer_times.rs
+++ b/tests/answer_times.rs
@@ -15,7 +15,7 @@
 }
 
 /// Turns away whatever was sent.
-fn turn_away(front: &mut Front, actions: &[Action]) -> Vec<Action> {
+fn turn_away(front: &mut ModuleHarness, actions: &[Action]) -> Vec<Action> {
     let mut out = Vec::new();
     for action in actions {
         if let Action::Send { id, server, .. } = action {
@@ -38,7 +38,7 @@
 /// Plays one request of `left` ms whose servers are all full until it is answered; gives how long before its deadline
 /// that is, and whether it was refused.
 fn answered(left: u64) -> (Micros, bool) {
-    let mut front = Front::new(short_turns(), 3);
+    let mut front = ModuleHarness::new(short_turns(), 3);
     let mut request = front.request(1, CLIP, "a");
     request.due = front.now + ms(left);
     let due = request.due;
@@ -72,7 +72,7 @@
 /// A look that comes late finds no time for another attempt, and answers.
 #[test]
 fn no_attempt_begins_where_its_answer_would_come_too_late() {
-    let mut front = Front::new(short_turns(), 0);
+    let mut front = ModuleHarness::new(short_turns(), 0);
     front.ask(1, CLIP, "a");
     front.now = front.now + ms(3_980);
     front.list(vec![ServerEntry::new(server(0), ServerState::Ready, 0)]);
@@ -85,7 +85,7 @@
 #[test]
 fn a_front_that_runs_late_leaves_more_time_for_its_answers() {
     let answered_at = |late: u64| {
-        let mut front = Front::new(short_turns(), 0);
+        let mut front = ModuleHarness::new(short_turns(), 0);
         front.ask(1, CLIP, "a");
         let due = front.now + ms(4_000);
         while answers(&front.out, 1).is_empty() {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -43,23 +43,28 @@
     ServerId::new(&format!("10.0.0.{n}:80"))
 }
 
-pub struct Front {
+pub struct ModuleHarness {
     pub brain: Brain,
     pub now: Micros,
     pub out: Vec<Action>,
     timers: Vec<Micros>,
 }
 
-impl Front {
+impl ModuleHarness {
     /// A front that knows `servers` warm servers, one a cell.
-    pub fn new(settings: Settings, servers: u32) -> Front {
-        let mut front = Front::bare(settings, 1);
+    pub fn new(settings: Settings, servers: u32) -> ModuleHarness {
+        let mut front = ModuleHarness::bare(settings, 1);
         front.list((0..servers).map(|n| ServerEntry::new(server(n), ServerState::Ready, n)).collect());
         front
     }
 
-    pub fn bare(settings: Settings, seed: u64) -> Front {
-        Front { brain: Brain::new(settings, seed), now: ms(1_000_000), out: Vec::new(), timers: Vec::new() }
+    pub fn bare(settings: Settings, seed: u64) -> ModuleHarness {
+        ModuleHarness {
+            brain: Brain::new(settings, seed),
+            now: ms(1_000_000),
+            out: Vec::new(),
+            timers: Vec::new(),
+        }
     }
 
     /// Hands an event over; gives what it led to.
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -83,7 +83,7 @@
 /// Plays a day; gives a digest of its actions, the set-ups sent and the final answers.
 fn play(day: Day) -> (u64, usize, usize) {
     let mut rng = fastrand::Rng::with_seed(day.seed);
-    let mut front = Front::bare(day_settings(day), day.seed);
+    let mut front = ModuleHarness::bare(day_settings(day), day.seed);
     front.list((0..SERVERS).map(|n| entry(n, ServerState::Ready)).collect());
     let mut outs: Vec<Out> = Vec::new();
     let mut seen = 0;
@@ -112,7 +112,7 @@
     (digest(&front.out), sends(&front.out).len(), front.out.iter().filter(finals).count())
 }
 
-fn ask(front: &mut Front, rng: &mut fastrand::Rng, day: Day, id: u64) {
+fn ask(front: &mut ModuleHarness, rng: &mut fastrand::Rng, day: Day, id: u64) {
     let class = [LIVE, CLIP, PAID, KEYED, SEATED][rng.usize(0..5)];
     // Low numbers are the popular titles.
     let title = rng.u64(0..day.titles).min(rng.u64(0..day.titles));
@@ -123,7 +123,7 @@
     front.tell(Event::Request(request));
 }
 
-fn end(front: &mut Front, rng: &mut fastrand::Rng, day: Day, outs: &mut Vec<Out>, k: usize) {
+fn end(front: &mut ModuleHarness, rng: &mut fastrand::Rng, day: Day, outs: &mut Vec<Out>, k: usize) {
     let (id, to) = (outs[k].id, outs[k].to.clone());
     if outs[k].plays {
         outs.swap_remove(k);
@@ -142,7 +142,7 @@
     front.outcome(id, &to, status, rng.u32(0..10) == 0);
 }
 
-fn tell_fullness(front: &mut Front, rng: &mut fastrand::Rng) {
+fn tell_fullness(front: &mut ModuleHarness, rng: &mut fastrand::Rng) {
     let (to, full) = (server(rng.u32(0..SERVERS)), rng.f64() * 1.4);
     let note = match rng.u32(0..10) {
         0 => Note::Uplink(full),
@@ -152,14 +152,14 @@
     front.note(rng.u64(0..u64::from(EVENTS)), &to, note);
 }
 
-fn change_list(front: &mut Front, rng: &mut fastrand::Rng) {
+fn change_list(front: &mut ModuleHarness, rng: &mut fastrand::Rng) {
     let states = [ServerState::Ready, ServerState::Ready, ServerState::Draining, ServerState::Gone];
     let mut entry = entry(rng.u32(0..SERVERS), states[rng.usize(0..states.len())]);
     entry.up_since = rng.bool().then_some(front.now);
     front.tell(Event::ServerList { kind: ListKind::Changes, servers: vec![entry] });
 }
 
-fn new_settings(front: &mut Front, rng: &mut fastrand::Rng, day: Day) {
+fn new_settings(front: &mut ModuleHarness, rng: &mut fastrand::Rng, day: Day) {
     let mut s = day_settings(day);
     s.classes[SEATED].seats = [None, Some(1), Some(6)][rng.usize(0..3)];
     s.classes[CLIP].floor = Rung(rng.usize(0..2));
--- a/tests/held.rs
+++ b/tests/held.rs
@@ -28,7 +28,7 @@
     s
 }
 
-fn ask(front: &mut Front, id: u64, class: usize, title: &str, home: u32) -> Vec<Action> {
+fn ask(front: &mut ModuleHarness, id: u64, class: usize, title: &str, home: u32) -> Vec<Action> {
     let mut request = front.request(id, class, title);
     request.due = front.now + ms(600_000);
     (request.home, request.copies) = (home, 2);
@@ -36,8 +36,8 @@
 }
 
 /// A front with so many sessions held; cells 4 and 5 have room.
-fn front(held: Held, titles: u64, size: u64) -> Front {
-    let mut front = Front::new(long(), 6);
+fn front(held: Held, titles: u64, size: u64) -> ModuleHarness {
+    let mut front = ModuleHarness::new(long(), 6);
     let class = if held == Held::NoSeat { SEATED } else { CLIP };
     let seats = if held == Held::NoSeat { titles } else { 0 };
     for id in 0..seats {
@@ -97,7 +97,7 @@
     // A stream that runs at a server between its limits for streams and for newcomers draws its title there.
     settings.classes[LIVE].floor = Rung(3);
     (settings.link_unit_kb, settings.rack_kb) = (1e9, 1e11);
-    let mut front = Front::new(settings, 1);
+    let mut front = ModuleHarness::new(settings, 1);
     let drawn = 300;
     for id in 0..drawn {
         assert_eq!(sends(&ask(&mut front, id, LIVE, &format!("t{id}"), 0)).len(), 1);
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -59,13 +59,13 @@
     let mut entry = ServerEntry::new(server(0), ServerState::Ready, 0);
     entry.up_since = Some(started);
     let born = |me: u32, seed: u64, at: Micros, s: &Settings| {
-        let mut front = Front::bare(Settings { broker_index: me, ..s.clone() }, seed);
+        let mut front = ModuleHarness::bare(Settings { broker_index: me, ..s.clone() }, seed);
         front.now = at;
         front
     };
     // (front, number, when it hears of the start, when it is told to end, when it is gone, traffic)
     struct Process {
-        front: Front,
+        front: ModuleHarness,
         me: u32,
         hears: u64,
         ends: u64,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn a_session_without_a_holder_is_refused_before_it_is_due() {
-    let mut f = Front::new(settings(), 0);
+    let mut f = ModuleHarness::new(settings(), 0);
     f.ask(1, CLIP, "a");
     let due = f.now + ms(4000);
     let out = f.pass(ms(3950));
@@ -19,7 +19,7 @@
 fn a_set_up_that_never_answers_is_failed_before_it_is_due() {
     let mut s = settings();
     s.classes[CLIP].idempotency = Idempotency::Unsafe;
-    let mut f = Front::new(s, 3);
+    let mut f = ModuleHarness::new(s, 3);
     assert_eq!(sends(&f.ask(1, CLIP, "a")).len(), 1);
     let out = f.pass(ms(4000));
     assert!(sends(&out).is_empty());
@@ -38,7 +38,7 @@
         (Status::Saturated, true),
         (Status::ConnectFailed, true),
     ] {
-        let mut f = Front::new(s.clone(), 3);
+        let mut f = ModuleHarness::new(s.clone(), 3);
         let (_, to) = sends(&f.ask(1, CLIP, "a"))[0].clone();
         f.pass(ms(100));
         let mut out = f.outcome(1, &to, status, false);
@@ -56,7 +56,7 @@
     for (scope, cells_ok) in [(KeyScope::Cell, false), (KeyScope::All, true)] {
         let mut s = settings();
         s.classes[CLIP].idempotency = Idempotency::Keyed { scope, window: ms(5000) };
-        let mut f = Front::new(s, 3);
+        let mut f = ModuleHarness::new(s, 3);
         let (_, to) = sends(&f.ask(1, CLIP, "a"))[0].clone();
         f.pass(ms(100));
         let mut out = f.outcome(1, &to, Status::Errored, false);
@@ -70,7 +70,7 @@
 fn a_keyed_session_whose_window_is_over_is_failed_not_refused() {
     let mut s = settings();
     s.classes[CLIP].idempotency = Idempotency::Keyed { scope: KeyScope::Zone, window: ms(50) };
-    let mut f = Front::new(s, 3);
+    let mut f = ModuleHarness::new(s, 3);
     let (_, to) = sends(&f.ask(1, CLIP, "a"))[0].clone();
     f.pass(ms(100));
     let mut out = f.outcome(1, &to, Status::Errored, false);
@@ -82,7 +82,7 @@
 #[test]
 fn nothing_goes_to_a_draining_or_removed_server() {
     for gone in [ServerState::Draining, ServerState::Gone] {
-        let mut f = Front::new(settings(), 2);
+        let mut f = ModuleHarness::new(settings(), 2);
         let first = f.play(1, LIVE, "a");
         let kind = ListKind::Changes;
         let mut entry = ServerEntry::new(first.clone(), gone, 0);
@@ -100,7 +100,7 @@
 
 #[test]
 fn a_server_absent_from_a_complete_list_gets_nothing() {
-    let mut f = Front::new(settings(), 2);
+    let mut f = ModuleHarness::new(settings(), 2);
     f.list(vec![ServerEntry::new(server(1), ServerState::Ready, 1)]);
     for id in 1..6 {
         f.ask(id, CLIP, "a");
@@ -126,7 +126,7 @@
 fn a_cold_server_gets_a_fronts_part_of_its_pace() {
     let mut s = settings();
     s.broker_count = 2;
-    let mut f = Front::bare(s, 1);
+    let mut f = ModuleHarness::bare(s, 1);
     let mut entry = ServerEntry::new(server(0), ServerState::Ready, 0);
     entry.up_since = Some(f.now);
     f.list(vec![entry]);
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_server_that_broke_connections_is_taken_to_come_back_cold() {
-    let mut f = Front::new(settings(), 1);
+    let mut f = ModuleHarness::new(settings(), 1);
     let to = f.play(1, CLIP, "a");
     f.outcome(1, &to, Status::Reset, true);
     f.pass(ms(20_000));
@@ -165,7 +165,7 @@
 }
 
 /// How many of eight set-ups, one each 20 ms, leave at once.
-fn taken(f: &mut Front) -> usize {
+fn taken(f: &mut ModuleHarness) -> usize {
     let mut taken = 0;
     for id in 100..108 {
         taken += sends(&f.ask(id, CLIP, "a")).len();
@@ -182,7 +182,7 @@
     for (status, before) in
         [(Status::TimedOut, true), (Status::Reset, true), (Status::TimedOut, false), (Status::Reset, false)]
     {
-        let mut f = Front::new(wide(), 1);
+        let mut f = ModuleHarness::new(wide(), 1);
         let to = f.play(1, CLIP, "a");
         f.ask(2, CLIP, "a");
         if before {
@@ -207,7 +207,7 @@
 #[test]
 fn one_missing_answer_of_a_server_that_answers_others_is_no_sign_of_trouble() {
     for (full, missing, well) in [(0.3, 1, true), (0.3, 2, false), (0.95, 1, false)] {
-        let mut f = Front::new(wide(), 1);
+        let mut f = ModuleHarness::new(wide(), 1);
         let to = f.play(1, CLIP, "a");
         f.note(1, &to, Note::Link(full));
         for id in 2..2 + missing {
@@ -227,7 +227,7 @@
     let mut s = settings();
     s.classes[CLIP].floor = Rung(1);
     s.classes[CLIP].seats = Some(2);
-    let mut f = Front::new(s, 3);
+    let mut f = ModuleHarness::new(s, 3);
     for id in 0..5 {
         f.ask(id, CLIP, "a");
     }
@@ -248,7 +248,7 @@
 fn further_attempts_stay_within_the_budget() {
     let mut s = settings();
     s.budget = Some(RetryBudget { floor: 1.0, ratio: 0.1, span: ms(5000) });
-    let mut f = Front::new(s, 6);
+    let mut f = ModuleHarness::new(s, 6);
     let mut extra = 0;
     for id in 0..10 {
         let mut queue = sends(&f.ask(id, CLIP, "a"));
@@ -264,7 +264,7 @@
 
 #[test]
 fn events_of_unknown_sessions_and_servers_are_ignored() {
-    let mut f = Front::new(settings(), 2);
+    let mut f = ModuleHarness::new(settings(), 2);
     f.first(77, &server(0));
     f.outcome(77, &server(9), Status::Completed, true);
     f.note(77, &server(9), Note::Link(2.0));
--- a/tests/trouble.rs
+++ b/tests/trouble.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn viewers_of_a_live_title_join_the_running_stream() {
-    let mut f = Front::new(settings(), 4);
+    let mut f = ModuleHarness::new(settings(), 4);
     let first = f.play(1, LIVE, "a");
     f.note(1, &first, Note::Link(0.3));
     for id in 2..5 {
@@ -20,7 +20,7 @@
 
 #[test]
 fn pressure_steps_playing_sessions_down_once_in_ten_seconds_and_room_raises_them() {
-    let mut f = Front::new(settings(), 1);
+    let mut f = ModuleHarness::new(settings(), 1);
     let at = f.play(1, CLIP, "a");
     f.note(1, &at, Note::Link(0.3));
     f.pass(ms(11_000)); // past the raise that the room leads to
@@ -39,7 +39,7 @@
     let mut dear = s.classes[CLIP].clone();
     dear.worth = 4.0;
     s.classes.push(dear);
-    let mut f = Front::new(s, 1);
+    let mut f = ModuleHarness::new(s, 1);
     let at = f.play(1, CLIP, "a");
     f.play(2, 2, "b");
     f.pass(ms(11_000));
@@ -50,7 +50,7 @@
 
 #[test]
 fn missing_notes_stop_raises() {
-    let mut f = Front::new(settings(), 1);
+    let mut f = ModuleHarness::new(settings(), 1);
     let at = f.play(1, CLIP, "a");
     f.note(1, &at, Note::Link(1.5));
     f.out.clear();
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_weak_uplink_is_cut_for_though_the_link_has_room() {
-    let mut f = Front::new(settings(), 1);
+    let mut f = ModuleHarness::new(settings(), 1);
     let at = f.play(1, CLIP, "a");
     f.note(1, &at, Note::Link(0.4));
     f.pass(ms(11_000)); // past the raise that the room leads to
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_shortfall_that_no_report_explains_counts_as_fullness() {
-    let mut f = Front::new(settings(), 1);
+    let mut f = ModuleHarness::new(settings(), 1);
     let at = f.play(1, CLIP, "a");
     f.note(1, &at, Note::Link(0.4));
     f.pass(ms(12_000)); // past the raise that the room leads to
@@ -82,7 +82,7 @@
 fn a_shortfall_of_an_unreported_uplink_is_cut_for_and_forgotten_with_the_next_figure() {
     let mut s = settings();
     s.uplink_reported = false;
-    let mut f = Front::new(s, 1);
+    let mut f = ModuleHarness::new(s, 1);
     let at = f.play(1, CLIP, "a");
     f.note(1, &at, Note::Link(0.4));
     f.pass(ms(12_000));
@@ -97,7 +97,7 @@
 
 #[test]
 fn a_server_that_takes_set_ups_and_never_answers_draws_no_joins() {
-    let mut f = Front::new(settings(), 3);
+    let mut f = ModuleHarness::new(settings(), 3);
     let dead = f.play(1, LIVE, "a");
     f.outcome(2, &dead, Status::TimedOut, false);
     let sent = sends(&f.ask(3, LIVE, "a"));
@@ -108,7 +108,7 @@
 
 #[test]
 fn an_attempt_leaves_time_for_another_within_the_aim() {
-    let mut f = Front::new(settings(), 3);
+    let mut f = ModuleHarness::new(settings(), 3);
     let out = f.ask(1, CLIP, "a");
     let timeout = out.iter().find_map(|a| match a {
         Action::Send { timeout, .. } => Some(*timeout),
@@ -124,7 +124,7 @@
 
 #[test]
 fn distrust_of_all_servers_does_not_stop_service() {
-    let mut f = Front::new(settings(), 3);
+    let mut f = ModuleHarness::new(settings(), 3);
     for n in 0..3 {
         f.outcome(90 + u64::from(n), &server(n), Status::Reset, true);
     }
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_full_server_is_left_alone_for_a_while() {
-    let mut f = Front::new(settings(), 2);
+    let mut f = ModuleHarness::new(settings(), 2);
     let first = f.play(1, LIVE, "a");
     let (_, to) = sends(&f.ask(2, LIVE, "a"))[0].clone();
     assert_eq!(to, first);
@@ -149,7 +149,7 @@
     let mut s = settings();
     s.kind_streams = vec![6];
     s.broker_count = 2;
-    let mut f = Front::new(s, 3);
+    let mut f = ModuleHarness::new(s, 3);
     let mut to = std::collections::BTreeMap::<ServerId, usize>::new();
     for id in 0..6 {
         let mut out = f.ask(id, CLIP, "a");
@@ -169,7 +169,7 @@
     let mut s = settings();
     s.tenants = vec![Tenant { quota_per_s: Some(0.2) }, Tenant { quota_per_s: Some(100.0) }];
     s.over_share_worth = 0.05;
-    let mut f = Front::new(s, 1);
+    let mut f = ModuleHarness::new(s, 1);
     for id in 0..20 {
         let request = f.request(id, CLIP, "crowd");
         f.tell(Event::Request(request));
@@ -196,7 +196,7 @@
     s.broker_count = 3;
     let mut kept = Vec::new();
     for seed in 1..4 {
-        let mut f = Front::bare(s.clone(), seed);
+        let mut f = ModuleHarness::bare(s.clone(), seed);
         f.list(vec![ServerEntry::new(server(0), ServerState::Ready, 0)]);
         for id in 0..3 {
             let request = f.request(id, CLIP, "a");
@@ -213,7 +213,7 @@
 
 #[test]
 fn held_sessions_of_a_title_go_together_when_room_returns() {
-    let mut f = Front::new(settings(), 1);
+    let mut f = ModuleHarness::new(settings(), 1);
     let at = f.play(1, CLIP, "a");
     f.note(1, &at, Note::Link(1.3));
     assert!(sends(&f.ask(2, LIVE, "b")).is_empty() && sends(&f.ask(3, LIVE, "b")).is_empty(), "held");
@@ -228,7 +228,7 @@
 /// were held waited to the end of their patience, 0.45 s, while others started in a millisecond.
 #[test]
 fn a_newcomer_does_not_overtake_those_that_are_held() {
-    let mut f = Front::new(settings(), 1);
+    let mut f = ModuleHarness::new(settings(), 1);
     let at = f.play(1, CLIP, "a");
     f.note(1, &at, Note::Link(1.3));
     assert!(sends(&f.ask(2, CLIP, "b")).is_empty(), "held");
@@ -243,7 +243,7 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut f = Front::new(settings(), 5);
+        let mut f = ModuleHarness::new(settings(), 5);
         for id in 0..30 {
             f.ask(id, (id % 2) as usize, ["a", "b", "c"][(id % 3) as usize]);
             f.pass(ms(70));
@@ -260,9 +260,9 @@
 fn many_fronts_together_keep_the_pace_of_a_cold_server() {
     let mut s = settings();
     (s.broker_count, s.classes[CLIP].slo, s.classes[CLIP].deadline) = (100, ms(4000), ms(4000));
-    let mut fronts: Vec<Front> = (0..100)
+    let mut fronts: Vec<ModuleHarness> = (0..100)
         .map(|me| {
-            let mut f = Front::bare(Settings { broker_index: me, ..s.clone() }, u64::from(me));
+            let mut f = ModuleHarness::bare(Settings { broker_index: me, ..s.clone() }, u64::from(me));
             let mut entry = ServerEntry::new(server(0), ServerState::Ready, 0);
             entry.up_since = Some(f.now);
             f.list(vec![entry]);
@@ -293,7 +293,7 @@
     let run = |busy: &dyn Fn(u64, u64) -> bool| {
         let mut at: Vec<u64> = Vec::new();
         for me in 0..100 {
-            let mut f = Front::bare(Settings { broker_index: me as u32, ..s.clone() }, me);
+            let mut f = ModuleHarness::bare(Settings { broker_index: me as u32, ..s.clone() }, me);
             let entry = |n, up| {
                 let mut entry = ServerEntry::new(server(n), ServerState::Ready, n);
                 entry.up_since = up;
@@ -322,7 +322,7 @@
 fn a_new_front_leaves_the_turn_in_which_it_started() {
     let s = settings();
     let run = |late: u64| {
-        let mut f = Front::bare(s.clone(), 1);
+        let mut f = ModuleHarness::bare(s.clone(), 1);
         f.now = f.now + ms(late);
         let mut entry = ServerEntry::new(server(0), ServerState::Ready, 0);
         entry.up_since = Some(f.now - ms(2000));
@@ -338,7 +338,7 @@
     let s = Settings { broker_count: 100, link_unit_kb: 40_000.0, rack_kb: 400_000.0, ..settings() };
     let mut left = 0.0;
     for seed in 0..60 {
-        let mut f = Front::bare(Settings { broker_index: seed, ..s.clone() }, u64::from(seed));
+        let mut f = ModuleHarness::bare(Settings { broker_index: seed, ..s.clone() }, u64::from(seed));
         f.list(vec![ServerEntry::new(server(0), ServerState::Ready, 0)]);
         let request = f.request(1, CLIP, "a");
         f.tell(Event::ExistingSession { request, server: server(0) });
@@ -357,7 +357,7 @@
     let s = Settings { broker_count: 100, link_unit_kb: 40_000.0, rack_kb: 400_000.0, ..settings() };
     let mut asked = 0.0;
     for seed in 0..100 {
-        let mut f = Front::bare(Settings { broker_index: seed, ..s.clone() }, u64::from(seed));
+        let mut f = ModuleHarness::bare(Settings { broker_index: seed, ..s.clone() }, u64::from(seed));
         f.list(vec![ServerEntry::new(server(0), ServerState::Ready, 0)]);
         let request = f.request(1, CLIP, "a");
         f.tell(Event::ExistingSession { request, server: server(0) });
@@ -374,7 +374,7 @@
 fn fronts_without_figures_spread_recorded_titles_and_gather_live_ones() {
     let chosen = |class: usize| {
         let each = (0..40).map(|me| {
-            let mut f = Front::new(Settings { broker_index: me, broker_count: 40, ..settings() }, 6);
+            let mut f = ModuleHarness::new(Settings { broker_index: me, broker_count: 40, ..settings() }, 6);
             sends(&f.ask(1000 + u64::from(me), class, "a"))[0].1.clone()
         });
         each.collect::<std::collections::BTreeSet<ServerId>>().len()
@@ -388,7 +388,7 @@
 #[test]
 fn where_connections_cost_sessions_go_to_servers_that_have_one() {
     let used = |handshake_price: f64| {
-        let mut f = Front::new(Settings { broker_count: 100, handshake_price, ..settings() }, 6);
+        let mut f = ModuleHarness::new(Settings { broker_count: 100, handshake_price, ..settings() }, 6);
         let each = (1..=20).map(|id| {
             let to = f.play(id, CLIP, "a");
             f.outcome(id, &to, Status::Completed, true);
@@ -399,7 +399,7 @@
     assert!(used(0.0) > 2);
     assert_eq!(used(0.05), 1);
     // It is not worth a link that fills up.
-    let mut f = Front::new(Settings { broker_count: 100, handshake_price: 0.05, ..settings() }, 6);
+    let mut f = ModuleHarness::new(Settings { broker_count: 100, handshake_price: 0.05, ..settings() }, 6);
     let to = f.play(1, CLIP, "a");
     f.note(1, &to, Note::Link(0.8));
     assert_ne!(f.play(2, CLIP, "a"), to);
@@ -409,7 +409,7 @@
 #[test]
 fn time_outs_after_an_own_stand_still_blame_no_server() {
     let blamed = |late: u64| {
-        let mut f = Front::new(settings(), 3);
+        let mut f = ModuleHarness::new(settings(), 3);
         let (_, to) = sends(&f.ask(1, CLIP, "a"))[0].clone();
         // No timer runs meanwhile: the front gets no turn.
         f.now = f.now + ms(late);
@@ -424,7 +424,7 @@
 /// least busy, so that 125 of 161 attempts there failed, paid ones among them, which may not be sent again.
 #[test]
 fn a_server_that_answers_with_errors_is_left_alone_and_one_success_does_not_bring_it_back() {
-    let mut f = Front::new(settings(), 4);
+    let mut f = ModuleHarness::new(settings(), 4);
     let mut sent_to = std::collections::BTreeMap::<ServerId, u32>::new();
     let bad = sends(&f.ask(1, CLIP, "a"))[0].1.clone();
     f.outcome(1, &bad, Status::Errored, false);
--- a/tests/uplinks.rs
+++ b/tests/uplinks.rs
@@ -9,10 +9,10 @@
 const SESSIONS: u64 = 9;
 
 /// A front whose rack's uplink is told by nobody, with sessions that play there; where the first of them plays.
-fn playing() -> (Front, Vec<(u64, ServerId)>) {
+fn playing() -> (ModuleHarness, Vec<(u64, ServerId)>) {
     let mut settings = settings();
     (settings.uplink_reported, settings.racks, settings.rack_kb) = (false, 1, 24_000.0);
-    let mut front = Front::new(settings, 6);
+    let mut front = ModuleHarness::new(settings, 6);
     let placed = (1..=SESSIONS).map(|id| (id, front.play(id, CLIP, &format!("title-{id}")))).collect();
     // The least time between two changes of a rung passes.
     front.pass(ms(11_000));
@@ -20,7 +20,11 @@
 }
 
 /// One second in which all servers tell that they deliver only a share of what is asked.
-fn second_of_shortage(front: &mut Front, placed: &[(u64, ServerId)], share: f64) -> Vec<(SessionId, Rung)> {
+fn second_of_shortage(
+    front: &mut ModuleHarness,
+    placed: &[(u64, ServerId)],
+    share: f64,
+) -> Vec<(SessionId, Rung)> {
     let mut changed = Vec::new();
     for (id, server) in placed {
         changed.extend(rates(&front.note(*id, server, Note::Delivered(share))));
@@ -29,7 +33,7 @@
     changed
 }
 
-fn links_told(front: &mut Front, placed: &[(u64, ServerId)], full: f64) -> Vec<(SessionId, Rung)> {
+fn links_told(front: &mut ModuleHarness, placed: &[(u64, ServerId)], full: f64) -> Vec<(SessionId, Rung)> {
     placed.iter().flat_map(|(id, server)| rates(&front.note(*id, server, Note::Link(full)))).collect()
 }
 
