--- a/src/net/ending.rs
+++ b/src/net/ending.rs
@@ -44,7 +44,7 @@
             connections: shared.accepted.get(),
             unheard_ends: unheard_ends + usize::from(registered),
             accepting: self.fronts.iter().any(|front| !front.is_finished()),
-            heir_serves: self.handover.as_ref().is_some_and(|handover| handover.yielded()),
+            successor_serves: self.handover.as_ref().is_some_and(|handover| handover.yielded()),
         }
     }
 }
@@ -53,7 +53,7 @@
 pub(super) async fn end(shared: &Handle, ending: Ending) {
     let longest = || shared.timings.get().longest_deadline;
     let killer = if ending.platform {
-        Killer::Platform { heir_serves: ending.left(shared).heir_serves }
+        Killer::Platform { successor_serves: ending.left(shared).successor_serves }
     } else {
         Killer::ProcessManager
     };
--- a/src/net/handover/meeting.rs
+++ b/src/net/handover/meeting.rs
@@ -15,7 +15,7 @@
 use crate::net::conns::STALLED;
 use crate::net::outbox::Outbox;
 use crate::net::reading::{TURN, code, within};
-use crate::operate::handover::giver::Suitor;
+use crate::operate::handover::giver::TakeoverConn;
 use crate::operate::handover::{Message, Reader};
 
 /// Where the processes of one broker meet. A path that the system can't take for a socket is made shorter.
@@ -115,7 +115,8 @@
             }
         };
         handover.next.set(handover.next.get() + 1);
-        let (suitor, outbox) = (Suitor(handover.next.get()), Rc::new(Outbox::new(&shared.queues.servers)));
+        let (suitor, outbox) =
+            (TakeoverConn(handover.next.get()), Rc::new(Outbox::new(&shared.queues.servers)));
         handover.suitors.borrow_mut().insert(suitor, outbox.clone());
         let (shared, handover) = (shared.clone(), handover.clone());
         let executor = shared.executor.clone();
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -15,8 +15,8 @@
 
 use super::outbox::{Bell, Outbox};
 use super::{Handle, micros, step};
-use crate::operate::handover::giver::{self, Giver, Suitor};
-use crate::operate::handover::heir::{self, Heir};
+use crate::operate::handover::giver::{self, Predecessor, TakeoverConn};
+use crate::operate::handover::heir::{self, Successor};
 use crate::operate::handover::{Message, encode};
 use gate::Gate;
 pub(super) use meeting::place;
@@ -32,12 +32,12 @@
     path: PathBuf,
     /// When this process started, by the machine's clock that is never set.
     started: u64,
-    giver: RefCell<Giver>,
-    heir: RefCell<Option<Heir>>,
+    giver: RefCell<Predecessor>,
+    heir: RefCell<Option<Successor>>,
     /// The connection to the process before.
     old: RefCell<Option<Rc<Outbox>>>,
     /// Those of processes that ask.
-    suitors: RefCell<BTreeMap<Suitor, Rc<Outbox>>>,
+    suitors: RefCell<BTreeMap<TakeoverConn, Rc<Outbox>>>,
     next: Cell<u64>,
     /// The file that this process took its place at the meeting point with.
     own_place: Cell<Option<FileId>>,
@@ -53,12 +53,12 @@
 impl Handover {
     /// Whether another process serves in this one's place.
     pub(super) fn yielded(&self) -> bool {
-        self.giver.borrow().gave_way()
+        self.giver.borrow().has_yielded()
     }
 
     /// What the node has for the other process.
     pub(super) fn told(self: &Rc<Self>, shared: &Handle, messages: Vec<Message>) {
-        let heir = self.giver.borrow().heir();
+        let heir = self.giver.borrow().successor();
         let suitor = heir.and_then(|heir| self.suitors.borrow().get(&heir).cloned());
         for message in messages {
             match (&suitor, message) {
@@ -126,7 +126,7 @@
         }
     }
 
-    fn as_heir(self: &Rc<Self>, shared: &Handle, act: impl FnOnce(&mut Heir, &mut Vec<heir::Act>)) {
+    fn as_heir(self: &Rc<Self>, shared: &Handle, act: impl FnOnce(&mut Successor, &mut Vec<heir::Act>)) {
         let mut acts = Vec::new();
         if let Some(heir) = &mut *self.heir.borrow_mut() {
             act(heir, &mut acts);
@@ -134,7 +134,7 @@
         self.inherit(shared, acts);
     }
 
-    fn as_giver(self: &Rc<Self>, shared: &Handle, act: impl FnOnce(&mut Giver, &mut Vec<giver::Act>)) {
+    fn as_giver(self: &Rc<Self>, shared: &Handle, act: impl FnOnce(&mut Predecessor, &mut Vec<giver::Act>)) {
         let mut acts = Vec::new();
         act(&mut self.giver.borrow_mut(), &mut acts);
         self.give(shared, acts);
@@ -168,8 +168,8 @@
         node.starts();
         node.most_sessions()
     });
-    let heir = Heir::new(shared.now(), handover.started, most_sessions);
-    let until = heir.patience();
+    let heir = Successor::new(shared.now(), handover.started, most_sessions);
+    let until = heir.deadline();
     *handover.heir.borrow_mut() = Some(heir);
     let patience = async {
         Timer::after(micros(until - shared.now())).await;
@@ -181,7 +181,7 @@
         loop {
             let stream = match reach(&handover.path).await {
                 Ok(Some(stream)) => stream,
-                Ok(None) => return handover.as_heir(&shared, Heir::alone),
+                Ok(None) => return handover.as_heir(&shared, Successor::alone),
                 Err(_) => {
                     Timer::after(AGAIN).await;
                     continue;
@@ -189,12 +189,12 @@
             };
             let outbox = Rc::new(Outbox::new(&shared.queues.servers));
             *handover.old.borrow_mut() = Some(outbox.clone());
-            handover.as_heir(&shared, Heir::linked);
+            handover.as_heir(&shared, Successor::linked);
             let talk = async {
                 let hear = |message| handover.as_heir(&shared, |heir, out| heir.heard(message, out));
                 let reason = converse(&stream, &outbox, hear).await;
                 info!(event = "end", peer = "old process", reason);
-                handover.as_heir(&shared, Heir::ended);
+                handover.as_heir(&shared, Successor::ended);
                 false
             };
             let told = async {
@@ -220,7 +220,7 @@
         Rc::new(Handover {
             path,
             started,
-            giver: RefCell::new(Giver::new(started)),
+            giver: RefCell::new(Predecessor::new(started)),
             heir: RefCell::default(),
             old: RefCell::default(),
             suitors: RefCell::default(),
--- a/src/operate/handover/giver.rs
+++ b/src/operate/handover/giver.rs
@@ -4,7 +4,7 @@
 
 /// A connection of a process that asks to take over, counted from the start of this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Suitor(pub u64);
+pub struct TakeoverConn(pub u64);
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
@@ -16,7 +16,7 @@
     /// Serve again as before: the new process is gone.
     Resume,
     /// Say something to a suitor.
-    Say(Suitor, Message),
+    Say(TakeoverConn, Message),
     /// A client left a session, as the new process heard.
     Left(u64),
     /// Nothing is held here any more, and the new process has taken in all: end.
@@ -29,9 +29,9 @@
     #[default]
     Serving,
     /// It gave way to this one.
-    Yielded(Suitor),
+    Yielded(TakeoverConn),
     /// It has asked to leave.
-    Leaving(Suitor),
+    Leaving(TakeoverConn),
     /// Its heir is gone. A further process may serve in that one's place.
     Orphaned,
     /// It may end.
@@ -40,19 +40,19 @@
 
 /// The old process' side.
 #[derive(Debug, Default)]
-pub struct Giver {
+pub struct Predecessor {
     state: State,
     started: u64,
 }
 
-impl Giver {
+impl Predecessor {
     /// Of a process that started then, by the machine's clock that is never set.
-    pub fn new(started: u64) -> Giver {
-        Giver { state: State::Serving, started }
+    pub fn new(started: u64) -> Predecessor {
+        Predecessor { state: State::Serving, started }
     }
 
     /// Whom it gave way to.
-    pub fn heir(&self) -> Option<Suitor> {
+    pub fn successor(&self) -> Option<TakeoverConn> {
         match self.state {
             State::Yielded(heir) | State::Leaving(heir) => Some(heir),
             State::Serving | State::Orphaned | State::Left => None,
@@ -60,12 +60,12 @@
     }
 
     /// Whether another process serves in this one's place.
-    pub fn gave_way(&self) -> bool {
+    pub fn has_yielded(&self) -> bool {
         self.state != State::Serving
     }
 
     /// A process that asks has said something.
-    pub fn heard(&mut self, from: Suitor, message: &Message, out: &mut Vec<Act>) {
+    pub fn heard(&mut self, from: TakeoverConn, message: &Message, out: &mut Vec<Act>) {
         match (message, self.state) {
             // Versions that start within milliseconds may ask in any order: the last to start is to serve.
             (Message::TakeOver { started, .. }, State::Serving) if *started <= self.started => {
@@ -78,10 +78,10 @@
             }
             // It waits for this process' end rather than acting on half an understanding.
             (Message::TakeOver { .. }, State::Serving) => out.push(Act::Say(from, Message::Other)),
-            (Message::TakeOver { .. }, _) if self.heir() != Some(from) => {
+            (Message::TakeOver { .. }, _) if self.successor() != Some(from) => {
                 out.push(Act::Say(from, Message::Busy));
             }
-            (Message::Left { id }, _) if self.heir() == Some(from) => out.push(Act::Left(*id)),
+            (Message::Left { id }, _) if self.successor() == Some(from) => out.push(Act::Left(*id)),
             (Message::Leave, State::Leaving(heir)) if heir == from => {
                 self.state = State::Left;
                 out.push(Act::Leave);
@@ -92,8 +92,8 @@
 
     /// Its connection has ended. If it was the heir, this process serves again, unless a further one took that one's
     /// place: two would take turns at cold servers as if each were alone.
-    pub fn ended(&mut self, who: Suitor, out: &mut Vec<Act>) {
-        if self.heir() == Some(who) {
+    pub fn ended(&mut self, who: TakeoverConn, out: &mut Vec<Act>) {
+        if self.successor() == Some(who) {
             self.state = State::Orphaned;
             out.push(Act::Look);
         }
@@ -128,11 +128,11 @@
 mod tests {
     use super::*;
 
-    const A: Suitor = Suitor(1);
-    const B: Suitor = Suitor(2);
+    const A: TakeoverConn = TakeoverConn(1);
+    const B: TakeoverConn = TakeoverConn(2);
     const ASK: Message = Message::TakeOver { version: VERSION, started: 9 };
 
-    fn heard(giver: &mut Giver, from: Suitor, message: Message) -> Vec<Act> {
+    fn heard(giver: &mut Predecessor, from: TakeoverConn, message: Message) -> Vec<Act> {
         let mut out = Vec::new();
         giver.heard(from, &message, &mut out);
         out
@@ -140,7 +140,7 @@
 
     #[test]
     fn it_yields_once_and_leaves_only_when_the_heir_has_taken_all_in() {
-        let mut giver = Giver::default();
+        let mut giver = Predecessor::default();
         assert_eq!(heard(&mut giver, A, ASK), [Act::Yield, Act::Say(A, Message::Yielded)]);
         assert_eq!(heard(&mut giver, B, ASK), [Act::Say(B, Message::Busy)]);
         assert_eq!(heard(&mut giver, A, Message::Leave), [], "it was not asked for");
@@ -151,19 +151,19 @@
         giver.holds(false, &mut out);
         assert_eq!(out, [Act::Say(A, Message::Leaving)]);
         assert_eq!(heard(&mut giver, B, Message::Leave), []);
-        assert!(giver.gave_way());
+        assert!(giver.has_yielded());
         assert_eq!(heard(&mut giver, A, Message::Leave), [Act::Leave]);
         // It ends now, and neither serves again nor cuts what was passed.
         let mut out = Vec::new();
         giver.ended(A, &mut out);
-        assert!(out.is_empty() && giver.gave_way());
+        assert!(out.is_empty() && giver.has_yielded());
     }
 
     /// Guards against a broker that nobody serves when the new process dies at any point before the old one left.
     #[test]
     fn it_serves_again_when_the_heir_dies_and_yields_to_the_next() {
         for leaving in [false, true] {
-            let mut giver = Giver::default();
+            let mut giver = Predecessor::default();
             heard(&mut giver, A, ASK);
             let mut out = Vec::new();
             if leaving {
@@ -184,9 +184,9 @@
     /// it.
     #[test]
     fn it_yields_to_none_that_started_before_it() {
-        let mut giver = Giver::new(9);
+        let mut giver = Predecessor::new(9);
         assert_eq!(heard(&mut giver, A, ASK), [Act::Say(A, Message::Newer)]);
-        assert!(!giver.gave_way());
+        assert!(!giver.has_yielded());
         let later = Message::TakeOver { version: VERSION, started: 10 };
         assert_eq!(heard(&mut giver, B, later), [Act::Yield, Act::Say(B, Message::Yielded)]);
     }
@@ -195,12 +195,12 @@
     /// the third.
     #[test]
     fn it_does_not_serve_again_beside_a_further_process() {
-        let mut giver = Giver::default();
+        let mut giver = Predecessor::default();
         heard(&mut giver, A, ASK);
         let mut out = Vec::new();
         giver.ended(A, &mut out);
         giver.looked(true, &mut out);
-        assert!(out == [Act::Look] && giver.gave_way());
+        assert!(out == [Act::Look] && giver.has_yielded());
         assert_eq!(heard(&mut giver, B, ASK), [Act::Say(B, Message::Busy)]);
         giver.holds(true, &mut out);
         giver.holds(false, &mut out);
@@ -209,10 +209,10 @@
 
     #[test]
     fn another_version_is_told_so_and_changes_nothing() {
-        let mut giver = Giver::default();
+        let mut giver = Predecessor::default();
         let other = Message::TakeOver { version: VERSION + 1, started: 9 };
         assert_eq!(heard(&mut giver, A, other), [Act::Say(A, Message::Other)]);
-        assert_eq!(giver.heir(), None);
+        assert_eq!(giver.successor(), None);
         assert_eq!(heard(&mut giver, A, Message::Left { id: 1 }), []);
     }
 }
--- a/src/operate/handover/heir.rs
+++ b/src/operate/handover/heir.rs
@@ -37,7 +37,7 @@
 
 /// The new process' side.
 #[derive(Debug)]
-pub struct Heir {
+pub struct Successor {
     /// When this process started, by the machine's clock that is never set.
     started: u64,
     /// The old process is asked until then.
@@ -57,16 +57,16 @@
     most_left: usize,
 }
 
-impl Heir {
+impl Successor {
     /// One that has not asked yet, of a process that started then and holds so many sessions at most.
-    pub fn new(now: Micros, started: u64, most_left: usize) -> Heir {
+    pub fn new(now: Micros, started: u64, most_left: usize) -> Successor {
         let (serves, meets, turns, linked, again) = (false, false, false, false, false);
         let (until, left, left_order) = (now + PATIENCE, BTreeMap::new(), VecDeque::new());
-        Heir { started, until, serves, meets, turns, linked, again, left, left_order, most_left }
+        Successor { started, until, serves, meets, turns, linked, again, left, left_order, most_left }
     }
 
-    /// When [`Heir::tick`] is wanted.
-    pub fn patience(&self) -> Micros {
+    /// When [`Successor::tick`] is wanted.
+    pub fn deadline(&self) -> Micros {
         self.until
     }
 
--- a/src/operate/handover/heir/tests.rs
+++ b/src/operate/handover/heir/tests.rs
@@ -2,8 +2,8 @@
 
 const MOST_LEFT: usize = 4096;
 
-fn linked() -> (Heir, Vec<Act>) {
-    let (mut heir, mut out) = (Heir::new(Micros(1), 7, MOST_LEFT), Vec::new());
+fn linked() -> (Successor, Vec<Act>) {
+    let (mut heir, mut out) = (Successor::new(Micros(1), 7, MOST_LEFT), Vec::new());
     heir.linked(&mut out);
     assert_eq!(out, [Act::Say(Message::TakeOver { version: VERSION, started: 7 })]);
     (heir, Vec::new())
@@ -12,7 +12,7 @@
 #[test]
 fn alone_it_serves_at_once_and_else_when_the_old_one_has_yielded() {
     let mut out = Vec::new();
-    Heir::new(Micros(1), 7, MOST_LEFT).alone(&mut out);
+    Successor::new(Micros(1), 7, MOST_LEFT).alone(&mut out);
     assert_eq!(out, [Act::TakeTurns, Act::Meet, Act::Serve]);
     let (mut heir, mut out) = linked();
     heir.heard(Message::Yielded, &mut out);
@@ -87,7 +87,7 @@
 #[test]
 fn as_many_ends_are_remembered_as_sessions_may_be_held() {
     const SESSIONS: usize = 49_152;
-    let mut heir = Heir::new(Micros(1), 7, SESSIONS);
+    let mut heir = Successor::new(Micros(1), 7, SESSIONS);
     heir.linked(&mut Vec::new());
     heir.heard(Message::Yielded, &mut Vec::new());
     (0..SESSIONS as u64).for_each(|id| heir.left(Micros(3), id, &mut Vec::new()));
--- a/src/operate/planned_end.rs
+++ b/src/operate/planned_end.rs
@@ -28,7 +28,7 @@
     /// The platform's; another process serves in this one's place already, or not.
     Platform {
         /// See there.
-        heir_serves: bool,
+        successor_serves: bool,
     },
     /// A process manager's: the broker serves no clients of the platform.
     ProcessManager,
@@ -48,7 +48,7 @@
     /// Connections that the machine accepted in time still wait to be taken.
     pub accepting: bool,
     /// Another process serves in this one's place.
-    pub heir_serves: bool,
+    pub successor_serves: bool,
 }
 
 /// What is to be done next.
@@ -97,8 +97,10 @@
             return;
         }
         let kill_after = match self.killer {
-            Killer::Platform { heir_serves: false } => longest_deadline.min(LONGEST_COUNTED) + KILL_DELAY,
-            Killer::Platform { heir_serves: true } => {
+            Killer::Platform { successor_serves: false } => {
+                longest_deadline.min(LONGEST_COUNTED) + KILL_DELAY
+            }
+            Killer::Platform { successor_serves: true } => {
                 longest_deadline.min(LONGEST_COUNTED_WITH_HEIR) + KILL_DELAY
             }
             Killer::ProcessManager => GRACE_ELSEWHERE,
@@ -124,7 +126,8 @@
     /// What is to be done now, if anything; to be asked until it gives none.
     pub fn next(&mut self, now: Micros, left: Left) -> Option<Step> {
         let late = now >= self.answer_by();
-        let nothing_kept = left.unanswered == 0 && left.playing == 0 && !left.accepting && !left.heir_serves;
+        let nothing_kept =
+            left.unanswered == 0 && left.playing == 0 && !left.accepting && !left.successor_serves;
         let (stage, step) = match self.stage {
             Stage::StillComing if late || now >= self.told_at + STILL_COMING => {
                 (Stage::Answering, Step::LastCall)
--- a/src/operate/planned_end/tests.rs
+++ b/src/operate/planned_end/tests.rs
@@ -3,8 +3,8 @@
 const T: Micros = Micros(1_000_000_000);
 const MS: u64 = 1_000;
 
-fn platform(heir_serves: bool) -> Killer {
-    Killer::Platform { heir_serves }
+fn platform(successor_serves: bool) -> Killer {
+    Killer::Platform { successor_serves }
 }
 
 fn busy() -> Left {
@@ -34,7 +34,7 @@
     ] {
         let end = PlannedEnd::new(T, Micros(longest_ms * MS), platform(heir));
         assert_eq!(end.kill_at(), T + Micros(kill_ms * MS));
-        let taken = steps(end, Left { heir_serves: heir, ..busy() });
+        let taken = steps(end, Left { successor_serves: heir, ..busy() });
         let doors = kill_ms - 400;
         let wanted = [
             (700.min(doors), Step::LastCall),
@@ -55,7 +55,7 @@
 
 #[test]
 fn an_heir_keeps_the_doors_open_until_it_has_all_or_time_is_up() {
-    let left = Left { heir_serves: true, ..Left::default() };
+    let left = Left { successor_serves: true, ..Left::default() };
     let taken = steps(PlannedEnd::new(T, Micros(1_000 * MS), platform(true)), left);
     assert_eq!(taken[1], (1_300, Step::CloseDoors));
 }
--- a/tests/support/handover_relay.rs
+++ b/tests/support/handover_relay.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     Old,
-    Heir,
+    Successor,
 }
 
 /// What happens at a message.
--- a/tests/upgrade_seeds.rs
+++ b/tests/upgrade_seeds.rs
@@ -33,7 +33,7 @@
 
 /// Each kind of fault has its turn; the rest is drawn.
 fn plan(seed: u64, rng: &mut Rng) -> Plan {
-    let side = if rng.bool() { Side::Old } else { Side::Heir };
+    let side = if rng.bool() { Side::Old } else { Side::Successor };
     let fault = match seed % 5 {
         0 => Fault::Late(ms(rng, 5..2500)),
         1 => Fault::Kill(side, rng.bool()),
@@ -96,7 +96,7 @@
     if processes.iter_mut().all(Program::has_ended) {
         // An heir that has let the old process go is the only one. Whoever killed it starts the next version, which
         // has to serve all that waits.
-        if plan.at != "leave" || !matches!(plan.fault, Fault::Kill(Side::Heir, _)) {
+        if plan.at != "leave" || !matches!(plan.fault, Fault::Kill(Side::Successor, _)) {
             wrong.push("all processes have ended".to_owned());
         }
         started_anew = ", a version was started anew";
