--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -4,7 +4,9 @@
 use super::{Node, named};
 use crate::api::*;
 use crate::broker::{Effect as Done, Input};
-use crate::operate::handover::{Message, Passed, note_number, numbered_note, status_word, worded_status};
+use crate::operate::handover::{
+    Message, SessionTransfer, note_number, numbered_note, status_word, worded_status,
+};
 use crate::platform::links::{Command, ServerMessage, status};
 
 impl Node {
@@ -59,7 +61,7 @@
         let Some((request, server, rung)) = self.broker.established_session(id) else { return };
         let class = named(&self.names.classes, request.class);
         let tenant = named(&self.names.tenants, request.tenant);
-        let passed = Passed::new(&request, class, tenant, &server, rung);
+        let passed = SessionTransfer::new(&request, class, tenant, &server, rung);
         self.messages.push(Message::Session(passed));
         self.passed.insert(id, server);
         self.forget(id);
@@ -67,7 +69,7 @@
     }
 
     /// Takes a session that another process held.
-    pub fn takes(&mut self, now: Micros, passed: &Passed, out: &mut Vec<Command>) {
+    pub fn takes(&mut self, now: Micros, passed: &SessionTransfer, out: &mut Vec<Command>) {
         let class = self.names.class(&passed.class);
         let tenant = self.names.tenant(&passed.tenant).unwrap_or(0);
         let (id, server) = (SessionId(passed.id), ServerId::new(&passed.server));
--- a/src/operate/handover/heir.rs
+++ b/src/operate/handover/heir.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::{Message, Passed, VERSION};
+use super::{Message, SessionTransfer, VERSION};
 use crate::api::Micros;
 
 /// An old process that says nothing for so long is not waited for: the new one serves beside it. Progress alone
@@ -26,9 +26,9 @@
     /// there.
     AskAgain,
     /// Hold this session.
-    Take(Passed),
+    Take(SessionTransfer),
     /// Hold this session, and end it: its client left before it was passed.
-    TakeEnded(Passed),
+    TakeEnded(SessionTransfer),
     /// A server or a client said this of a session.
     Told(Message),
     /// Say something to the old process.
--- a/src/operate/handover/heir/tests.rs
+++ b/src/operate/handover/heir/tests.rs
@@ -75,7 +75,7 @@
     heir.heard(Message::Yielded, &mut out);
     out.clear();
     heir.left(Micros(2), 7, &mut out);
-    let passed = |id| Passed { id, ..Passed::default() };
+    let passed = |id| SessionTransfer { id, ..SessionTransfer::default() };
     heir.heard(Message::Session(passed(7)), &mut out);
     heir.heard(Message::Session(passed(8)), &mut out);
     let want = [Act::Say(Message::Left { id: 7 }), Act::TakeEnded(passed(7)), Act::Take(passed(8))];
@@ -92,7 +92,7 @@
     heir.heard(Message::Yielded, &mut Vec::new());
     (0..SESSIONS as u64).for_each(|id| heir.left(Micros(3), id, &mut Vec::new()));
     let mut out = Vec::new();
-    let last = Passed { id: SESSIONS as u64 - 1, ..Passed::default() };
+    let last = SessionTransfer { id: SESSIONS as u64 - 1, ..SessionTransfer::default() };
     heir.heard(Message::Session(last.clone()), &mut out);
     assert_eq!(out, [Act::TakeEnded(last)]);
 }
--- a/src/operate/handover/mod.rs
+++ b/src/operate/handover/mod.rs
@@ -18,7 +18,7 @@
 /// may have read different files.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Passed {
+pub struct SessionTransfer {
     /// The session.
     pub id: u64,
     /// Name of its class.
@@ -41,7 +41,7 @@
     pub rung: Option<usize>,
 }
 
-impl Passed {
+impl SessionTransfer {
     /// From a request and where it stands.
     pub fn new(
         request: &Request,
@@ -49,8 +49,8 @@
         tenant: &str,
         server: &ServerId,
         rung: Option<Rung>,
-    ) -> Passed {
-        Passed {
+    ) -> SessionTransfer {
+        SessionTransfer {
             id: request.id.0,
             class: class.to_owned(),
             tenant: tenant.to_owned(),
@@ -94,7 +94,7 @@
     /// The one that was asked started later than the one that asks.
     Newer,
     /// The old one passes a session that stands.
-    Session(Passed),
+    Session(SessionTransfer),
     /// The old one heard that a session is over that it had passed.
     Over {
         /// The session.
@@ -185,7 +185,7 @@
     fn all() -> Vec<Message> {
         let mut request = Request::new(SessionId(7), Text::from("t"), Micros(0), 3, 2);
         (request.home, request.viewer) = (1, Text::from("v"));
-        let passed = Passed::new(&request, "paid", "home", &ServerId::new("s-0"), Some(Rung(1)));
+        let passed = SessionTransfer::new(&request, "paid", "home", &ServerId::new("s-0"), Some(Rung(1)));
         assert_eq!(passed.request(0, 0), request);
         vec![
             Message::TakeOver { version: VERSION, started: 1 },
