--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -72,52 +72,54 @@
         }
     }
 
-    fn give(self: &Rc<Self>, shared: &Handle, acts: Vec<giver::Act>) {
+    fn give(self: &Rc<Self>, shared: &Handle, acts: Vec<giver::Action>) {
         for act in acts {
             match act {
-                giver::Act::Yield => {
+                giver::Action::Yield => {
                     info!(event = "yields");
                     self.gate.set(false);
                     step(shared, |node, now, out| node.yields(now, out));
                     shared.executor.spawn(leave(shared.clone(), self.clone())).detach();
                 }
-                giver::Act::Resume => {
+                giver::Action::Resume => {
                     warn!(event = "serves again", reason = "the new process is gone");
                     step(shared, |node, now, out| node.resumes(now, out));
                     self.gate.set(true);
                     listen(shared, self);
                 }
-                giver::Act::Say(to, message) => {
+                giver::Action::Say(to, message) => {
                     if let Some(outbox) = self.suitors.borrow().get(&to) {
                         outbox.push(encode(&message), None);
                     }
                 }
-                giver::Act::Left(id) => step(shared, |node, now, out| node.ends(now, id, out)),
-                giver::Act::Look => shared.executor.spawn(look(shared.clone(), self.clone())).detach(),
-                giver::Act::Leave => self.left.ring(),
+                giver::Action::Left(id) => step(shared, |node, now, out| node.ends(now, id, out)),
+                giver::Action::Look => shared.executor.spawn(look(shared.clone(), self.clone())).detach(),
+                giver::Action::Leave => self.left.ring(),
             }
         }
     }
 
-    fn inherit(self: &Rc<Self>, shared: &Handle, acts: Vec<heir::Act>) {
+    fn inherit(self: &Rc<Self>, shared: &Handle, acts: Vec<heir::Action>) {
         for act in acts {
             match act {
-                heir::Act::Serve => {
+                heir::Action::Serve => {
                     step(shared, |node, _, _| node.serves());
                     self.gate.set(true);
                     info!(event = "serves");
                 }
-                heir::Act::Meet => listen(shared, self),
-                heir::Act::Leave => self.left.ring(),
-                heir::Act::AskAgain => self.again.ring(),
-                heir::Act::TakeTurns => step(shared, |node, now, out| node.takes_turns(now, out)),
-                heir::Act::Take(passed) => step(shared, |node, now, out| node.takes(now, &passed, out)),
-                heir::Act::TakeEnded(passed) => step(shared, |node, now, out| {
+                heir::Action::Meet => listen(shared, self),
+                heir::Action::Leave => self.left.ring(),
+                heir::Action::AskAgain => self.again.ring(),
+                heir::Action::TakeTurns => step(shared, |node, now, out| node.takes_turns(now, out)),
+                heir::Action::Take(passed) => step(shared, |node, now, out| node.takes(now, &passed, out)),
+                heir::Action::TakeEnded(passed) => step(shared, |node, now, out| {
                     node.takes(now, &passed, out);
                     node.ends(now, passed.id, out);
                 }),
-                heir::Act::Told(message) => step(shared, |node, now, out| node.hears_of(now, &message, out)),
-                heir::Act::Say(message) => {
+                heir::Action::Told(message) => {
+                    step(shared, |node, now, out| node.hears_of(now, &message, out))
+                }
+                heir::Action::Say(message) => {
                     if let Some(old) = &*self.old.borrow() {
                         old.push(encode(&message), None);
                     }
@@ -126,7 +128,7 @@
         }
     }
 
-    fn as_heir(self: &Rc<Self>, shared: &Handle, act: impl FnOnce(&mut Successor, &mut Vec<heir::Act>)) {
+    fn as_heir(self: &Rc<Self>, shared: &Handle, act: impl FnOnce(&mut Successor, &mut Vec<heir::Action>)) {
         let mut acts = Vec::new();
         if let Some(heir) = &mut *self.heir.borrow_mut() {
             act(heir, &mut acts);
@@ -134,7 +136,11 @@
         self.inherit(shared, acts);
     }
 
-    fn as_giver(self: &Rc<Self>, shared: &Handle, act: impl FnOnce(&mut Predecessor, &mut Vec<giver::Act>)) {
+    fn as_giver(
+        self: &Rc<Self>,
+        shared: &Handle,
+        act: impl FnOnce(&mut Predecessor, &mut Vec<giver::Action>),
+    ) {
         let mut acts = Vec::new();
         act(&mut self.giver.borrow_mut(), &mut acts);
         self.give(shared, acts);
--- a/src/operate/handover/giver.rs
+++ b/src/operate/handover/giver.rs
@@ -8,7 +8,7 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// Yield: accept nothing, take no turn at cold servers, pass what stands; only then answer.
     Yield,
     /// Find out whether another process is at the meeting point.
@@ -65,26 +65,26 @@
     }
 
     /// A process that asks has said something.
-    pub fn heard(&mut self, from: TakeoverConn, message: &Message, out: &mut Vec<Act>) {
+    pub fn heard(&mut self, from: TakeoverConn, message: &Message, out: &mut Vec<Action>) {
         match (message, self.state) {
             // Versions that start within milliseconds may ask in any order: the last to start is to serve.
             (Message::TakeOver { started, .. }, State::Serving) if *started <= self.started => {
-                out.push(Act::Say(from, Message::Newer));
+                out.push(Action::Say(from, Message::Newer));
             }
             (Message::TakeOver { version, .. }, State::Serving) if *version == VERSION => {
                 self.state = State::Yielded(from);
-                out.push(Act::Yield);
-                out.push(Act::Say(from, Message::Yielded));
+                out.push(Action::Yield);
+                out.push(Action::Say(from, Message::Yielded));
             }
             // It waits for this process' end rather than acting on half an understanding.
-            (Message::TakeOver { .. }, State::Serving) => out.push(Act::Say(from, Message::Other)),
+            (Message::TakeOver { .. }, State::Serving) => out.push(Action::Say(from, Message::Other)),
             (Message::TakeOver { .. }, _) if self.successor() != Some(from) => {
-                out.push(Act::Say(from, Message::Busy));
+                out.push(Action::Say(from, Message::Busy));
             }
-            (Message::Left { id }, _) if self.successor() == Some(from) => out.push(Act::Left(*id)),
+            (Message::Left { id }, _) if self.successor() == Some(from) => out.push(Action::Left(*id)),
             (Message::Leave, State::Leaving(heir)) if heir == from => {
                 self.state = State::Left;
-                out.push(Act::Leave);
+                out.push(Action::Leave);
             }
             _ => {}
         }
@@ -92,32 +92,32 @@
 
     /// Its connection has ended. If it was the heir, this process serves again, unless a further one took that one's
     /// place: two would take turns at cold servers as if each were alone.
-    pub fn ended(&mut self, who: TakeoverConn, out: &mut Vec<Act>) {
+    pub fn ended(&mut self, who: TakeoverConn, out: &mut Vec<Action>) {
         if self.successor() == Some(who) {
             self.state = State::Orphaned;
-            out.push(Act::Look);
+            out.push(Action::Look);
         }
     }
 
     /// Whether anybody is at the meeting point. What was passed is not taken back: those sessions play on, and their
     /// clients name them again.
-    pub fn looked(&mut self, somebody: bool, out: &mut Vec<Act>) {
+    pub fn looked(&mut self, somebody: bool, out: &mut Vec<Action>) {
         if self.state == State::Orphaned && !somebody {
             self.state = State::Serving;
-            out.push(Act::Resume);
+            out.push(Action::Resume);
         }
     }
 
     /// Whether anybody still waits here, or says so only here.
-    pub fn holds(&mut self, anything: bool, out: &mut Vec<Act>) {
+    pub fn holds(&mut self, anything: bool, out: &mut Vec<Action>) {
         match self.state {
             State::Yielded(heir) if !anything => {
                 self.state = State::Leaving(heir);
-                out.push(Act::Say(heir, Message::Leaving));
+                out.push(Action::Say(heir, Message::Leaving));
             }
             State::Orphaned if !anything => {
                 self.state = State::Left;
-                out.push(Act::Leave);
+                out.push(Action::Leave);
             }
             _ => {}
         }
@@ -132,7 +132,7 @@
     const B: TakeoverConn = TakeoverConn(2);
     const ASK: Message = Message::TakeOver { version: VERSION, started: 9 };
 
-    fn heard(giver: &mut Predecessor, from: TakeoverConn, message: Message) -> Vec<Act> {
+    fn heard(giver: &mut Predecessor, from: TakeoverConn, message: Message) -> Vec<Action> {
         let mut out = Vec::new();
         giver.heard(from, &message, &mut out);
         out
@@ -141,18 +141,18 @@
     #[test]
     fn it_yields_once_and_leaves_only_when_the_heir_has_taken_all_in() {
         let mut giver = Predecessor::default();
-        assert_eq!(heard(&mut giver, A, ASK), [Act::Yield, Act::Say(A, Message::Yielded)]);
-        assert_eq!(heard(&mut giver, B, ASK), [Act::Say(B, Message::Busy)]);
+        assert_eq!(heard(&mut giver, A, ASK), [Action::Yield, Action::Say(A, Message::Yielded)]);
+        assert_eq!(heard(&mut giver, B, ASK), [Action::Say(B, Message::Busy)]);
         assert_eq!(heard(&mut giver, A, Message::Leave), [], "it was not asked for");
         let mut out = Vec::new();
         giver.holds(true, &mut out);
         assert_eq!(out, []);
         giver.holds(false, &mut out);
         giver.holds(false, &mut out);
-        assert_eq!(out, [Act::Say(A, Message::Leaving)]);
+        assert_eq!(out, [Action::Say(A, Message::Leaving)]);
         assert_eq!(heard(&mut giver, B, Message::Leave), []);
         assert!(giver.has_yielded());
-        assert_eq!(heard(&mut giver, A, Message::Leave), [Act::Leave]);
+        assert_eq!(heard(&mut giver, A, Message::Leave), [Action::Leave]);
         // It ends now, and neither serves again nor cuts what was passed.
         let mut out = Vec::new();
         giver.ended(A, &mut out);
@@ -174,9 +174,9 @@
             assert_eq!(out, [], "that was another");
             giver.ended(A, &mut out);
             giver.looked(false, &mut out);
-            assert_eq!(out, [Act::Look, Act::Resume]);
+            assert_eq!(out, [Action::Look, Action::Resume]);
             assert_eq!(heard(&mut giver, A, Message::Leave), []);
-            assert_eq!(heard(&mut giver, B, ASK), [Act::Yield, Act::Say(B, Message::Yielded)]);
+            assert_eq!(heard(&mut giver, B, ASK), [Action::Yield, Action::Say(B, Message::Yielded)]);
         }
     }
 
@@ -185,10 +185,10 @@
     #[test]
     fn it_yields_to_none_that_started_before_it() {
         let mut giver = Predecessor::new(9);
-        assert_eq!(heard(&mut giver, A, ASK), [Act::Say(A, Message::Newer)]);
+        assert_eq!(heard(&mut giver, A, ASK), [Action::Say(A, Message::Newer)]);
         assert!(!giver.has_yielded());
         let later = Message::TakeOver { version: VERSION, started: 10 };
-        assert_eq!(heard(&mut giver, B, later), [Act::Yield, Act::Say(B, Message::Yielded)]);
+        assert_eq!(heard(&mut giver, B, later), [Action::Yield, Action::Say(B, Message::Yielded)]);
     }
 
     /// Seen with three versions within a second: the second left before the first, which then served again beside
@@ -200,18 +200,18 @@
         let mut out = Vec::new();
         giver.ended(A, &mut out);
         giver.looked(true, &mut out);
-        assert!(out == [Act::Look] && giver.has_yielded());
-        assert_eq!(heard(&mut giver, B, ASK), [Act::Say(B, Message::Busy)]);
+        assert!(out == [Action::Look] && giver.has_yielded());
+        assert_eq!(heard(&mut giver, B, ASK), [Action::Say(B, Message::Busy)]);
         giver.holds(true, &mut out);
         giver.holds(false, &mut out);
-        assert_eq!(out, [Act::Look, Act::Leave]);
+        assert_eq!(out, [Action::Look, Action::Leave]);
     }
 
     #[test]
     fn another_version_is_told_so_and_changes_nothing() {
         let mut giver = Predecessor::default();
         let other = Message::TakeOver { version: VERSION + 1, started: 9 };
-        assert_eq!(heard(&mut giver, A, other), [Act::Say(A, Message::Other)]);
+        assert_eq!(heard(&mut giver, A, other), [Action::Say(A, Message::Other)]);
         assert_eq!(giver.successor(), None);
         assert_eq!(heard(&mut giver, A, Message::Left { id: 1 }), []);
     }
--- a/src/operate/handover/heir.rs
+++ b/src/operate/handover/heir.rs
@@ -13,7 +13,7 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// Accept, and say yes.
     Serve,
     /// Take the place where the next process asks.
@@ -70,49 +70,49 @@
         self.until
     }
 
-    fn serve(&mut self, out: &mut Vec<Act>) {
+    fn serve(&mut self, out: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.serves, true) {
-            out.push(Act::Serve);
+            out.push(Action::Serve);
         }
     }
 
-    fn meet(&mut self, out: &mut Vec<Act>) {
+    fn meet(&mut self, out: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.meets, true) {
-            out.push(Act::Meet);
+            out.push(Action::Meet);
         }
     }
 
     /// All is this process' from now on. The turns first: what is accepted next may want one; and who sees it serve
     /// finds it at the meeting point.
-    fn settle(&mut self, out: &mut Vec<Act>) {
+    fn settle(&mut self, out: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.turns, true) {
-            out.push(Act::TakeTurns);
+            out.push(Action::TakeTurns);
         }
         self.meet(out);
         self.serve(out);
     }
 
     /// A connection to a process at the meeting point stands.
-    pub fn linked(&mut self, out: &mut Vec<Act>) {
+    pub fn linked(&mut self, out: &mut Vec<Action>) {
         self.linked = true;
-        out.push(Act::Say(Message::TakeOver { version: VERSION, started: self.started }));
+        out.push(Action::Say(Message::TakeOver { version: VERSION, started: self.started }));
     }
 
     /// Nobody is at the meeting point.
-    pub fn alone(&mut self, out: &mut Vec<Act>) {
+    pub fn alone(&mut self, out: &mut Vec<Action>) {
         self.linked = false;
         self.settle(out);
     }
 
     /// The old process said something.
-    pub fn heard(&mut self, message: Message, out: &mut Vec<Act>) {
+    pub fn heard(&mut self, message: Message, out: &mut Vec<Action>) {
         match message {
             Message::Yielded => self.settle(out),
             Message::Busy => {
                 (self.linked, self.again) = (false, true);
-                out.push(Act::AskAgain);
+                out.push(Action::AskAgain);
             }
-            Message::Newer if !self.serves => out.push(Act::Leave),
+            Message::Newer if !self.serves => out.push(Action::Leave),
             // Its turns stay its own until it has ended.
             Message::Newer => {}
             Message::Other => {
@@ -120,22 +120,22 @@
                 self.meet(out);
             }
             Message::Session(passed) => match self.left.remove(&passed.id) {
-                Some(_) => out.push(Act::TakeEnded(passed)),
-                None => out.push(Act::Take(passed)),
+                Some(_) => out.push(Action::TakeEnded(passed)),
+                None => out.push(Action::Take(passed)),
             },
             Message::Over { .. } | Message::Noted { .. } | Message::Left { .. } => {
-                out.push(Act::Told(message));
+                out.push(Action::Told(message));
             }
-            Message::Leaving => out.push(Act::Say(Message::Leave)),
+            Message::Leaving => out.push(Action::Say(Message::Leave)),
             Message::TakeOver { .. } | Message::Leave | Message::Unknown => {}
         }
     }
 
     /// The connection to the old process has ended, as the system ends it when that process does. Another may have
     /// come to the meeting point meanwhile, unless this one is there.
-    pub fn ended(&mut self, out: &mut Vec<Act>) {
+    pub fn ended(&mut self, out: &mut Vec<Action>) {
         self.linked = false;
-        if self.meets { self.settle(out) } else { out.push(Act::AskAgain) }
+        if self.meets { self.settle(out) } else { out.push(Action::AskAgain) }
     }
 
     /// Forgets ends whose sessions were not passed in time.
@@ -149,19 +149,19 @@
     }
 
     /// A client left a session that this process does not hold.
-    pub fn left(&mut self, now: Micros, id: u64, out: &mut Vec<Act>) {
+    pub fn left(&mut self, now: Micros, id: u64, out: &mut Vec<Action>) {
         if self.linked {
             self.forget_left(now);
             if self.left_order.len() < self.most_left {
                 self.left.insert(id, now + LEFT_KEPT);
                 self.left_order.push_back((now + LEFT_KEPT, id));
             }
-            out.push(Act::Say(Message::Left { id }));
+            out.push(Action::Say(Message::Left { id }));
         }
     }
 
     /// Time has passed. One that is told to ask again keeps asking, and stays away from the meeting point meanwhile.
-    pub fn tick(&mut self, now: Micros, out: &mut Vec<Act>) {
+    pub fn tick(&mut self, now: Micros, out: &mut Vec<Action>) {
         if now >= self.until {
             self.serve(out);
             if !self.again {
--- a/src/operate/handover/heir/tests.rs
+++ b/src/operate/handover/heir/tests.rs
@@ -2,10 +2,10 @@
 
 const MOST_LEFT: usize = 4096;
 
-fn linked() -> (Successor, Vec<Act>) {
+fn linked() -> (Successor, Vec<Action>) {
     let (mut heir, mut out) = (Successor::new(Micros(1), 7, MOST_LEFT), Vec::new());
     heir.linked(&mut out);
-    assert_eq!(out, [Act::Say(Message::TakeOver { version: VERSION, started: 7 })]);
+    assert_eq!(out, [Action::Say(Message::TakeOver { version: VERSION, started: 7 })]);
     (heir, Vec::new())
 }
 
@@ -13,12 +13,12 @@
 fn alone_it_serves_at_once_and_else_when_the_old_one_has_yielded() {
     let mut out = Vec::new();
     Successor::new(Micros(1), 7, MOST_LEFT).alone(&mut out);
-    assert_eq!(out, [Act::TakeTurns, Act::Meet, Act::Serve]);
+    assert_eq!(out, [Action::TakeTurns, Action::Meet, Action::Serve]);
     let (mut heir, mut out) = linked();
     heir.heard(Message::Yielded, &mut out);
     heir.ended(&mut out);
     heir.tick(Micros(1) + PATIENCE, &mut out);
-    assert_eq!(out, [Act::TakeTurns, Act::Meet, Act::Serve], "once each, the turns first");
+    assert_eq!(out, [Action::TakeTurns, Action::Meet, Action::Serve], "once each, the turns first");
 }
 
 /// Guards against two processes that pace a cold server as if each were alone: one that hears nothing serves,
@@ -29,12 +29,12 @@
         let (mut heir, mut out) = linked();
         heir.heard(silent, &mut out);
         heir.tick(Micros(1) + PATIENCE, &mut out);
-        assert_eq!(out, [Act::Serve, Act::Meet]);
+        assert_eq!(out, [Action::Serve, Action::Meet]);
         out.clear();
         heir.tick(Micros(3_600_000_000), &mut out);
         assert_eq!(out, []);
         heir.ended(&mut out);
-        assert_eq!(out, [Act::TakeTurns]);
+        assert_eq!(out, [Action::TakeTurns]);
     }
 }
 
@@ -44,24 +44,24 @@
 fn one_that_meets_a_process_that_gives_way_to_another_asks_that_other() {
     let (mut heir, mut out) = linked();
     heir.heard(Message::Busy, &mut out);
-    assert_eq!(out, [Act::AskAgain]);
+    assert_eq!(out, [Action::AskAgain]);
     out.clear();
     heir.tick(Micros(1) + PATIENCE, &mut out);
-    assert_eq!(out, [Act::Serve], "it would meet itself");
+    assert_eq!(out, [Action::Serve], "it would meet itself");
     out.clear();
     heir.linked(&mut out);
     heir.heard(Message::Yielded, &mut out);
-    assert_eq!(out[1..], [Act::TakeTurns, Act::Meet]);
+    assert_eq!(out[1..], [Action::TakeTurns, Action::Meet]);
     let (mut heir, mut out) = linked();
     heir.ended(&mut out);
-    assert_eq!(out, [Act::AskAgain], "another may be there");
+    assert_eq!(out, [Action::AskAgain], "another may be there");
 }
 
 #[test]
 fn one_that_meets_a_newer_one_leaves_unless_it_has_taken_anything() {
     let (mut heir, mut out) = linked();
     heir.heard(Message::Newer, &mut out);
-    assert_eq!(out, [Act::Leave]);
+    assert_eq!(out, [Action::Leave]);
     let (mut heir, mut out) = linked();
     heir.tick(Micros(1) + PATIENCE, &mut out);
     out.clear();
@@ -78,7 +78,7 @@
     let passed = |id| SessionTransfer { id, ..SessionTransfer::default() };
     heir.heard(Message::Session(passed(7)), &mut out);
     heir.heard(Message::Session(passed(8)), &mut out);
-    let want = [Act::Say(Message::Left { id: 7 }), Act::TakeEnded(passed(7)), Act::Take(passed(8))];
+    let want = [Action::Say(Message::Left { id: 7 }), Action::TakeEnded(passed(7)), Action::Take(passed(8))];
     assert_eq!(out, want);
     (0..10_000).for_each(|n| heir.left(Micros(3), n, &mut Vec::new()));
     assert!(heir.left.len() <= MOST_LEFT);
@@ -94,5 +94,5 @@
     let mut out = Vec::new();
     let last = SessionTransfer { id: SESSIONS as u64 - 1, ..SessionTransfer::default() };
     heir.heard(Message::Session(last.clone()), &mut out);
-    assert_eq!(out, [Act::TakeEnded(last)]);
+    assert_eq!(out, [Action::TakeEnded(last)]);
 }
