--- a/src/net/ending.rs
+++ b/src/net/ending.rs
@@ -11,7 +11,7 @@
 use super::outbox::Bell;
 use super::{Handle, step};
 use crate::node::{HeldRequest, Remaining};
-use crate::operate::planned_end::{Killer, Left, PlannedEnd, Step};
+use crate::operate::planned_end::{KillPolicy, RemainingWork, ShutdownPlan, Step};
 
 /// Time between two looks at what is left.
 const LOOK: Duration = Duration::from_millis(10);
@@ -35,10 +35,10 @@
 }
 
 impl Ending {
-    fn left(&self, shared: &Handle) -> Left {
+    fn left(&self, shared: &Handle) -> RemainingWork {
         let Remaining { unanswered, playing, unheard_ends, .. } = shared.node.borrow().remaining();
         let registered = self.registry.as_ref().is_some_and(|task| !task.is_finished());
-        Left {
+        RemainingWork {
             unanswered,
             playing,
             connections: shared.accepted.get(),
@@ -53,11 +53,11 @@
 pub(super) async fn end(shared: &Handle, ending: Ending) {
     let longest = || shared.timings.get().longest_deadline;
     let killer = if ending.platform {
-        Killer::Platform { successor_serves: ending.left(shared).successor_serves }
+        KillPolicy::Platform { successor_serves: ending.left(shared).successor_serves }
     } else {
-        Killer::ProcessManager
+        KillPolicy::ProcessManager
     };
-    let mut plan = PlannedEnd::new(shared.now(), longest(), killer);
+    let mut plan = ShutdownPlan::new(shared.now(), longest(), killer);
     let mut answer_by = plan.answer_by();
     step(shared, |node, now, out| node.ends_by(now, answer_by, out));
     let reports = shared.executor.spawn(report(shared.clone(), plan));
@@ -87,7 +87,7 @@
 }
 
 /// Tells, again and again, what keeps the process up.
-async fn report(shared: Handle, plan: PlannedEnd) {
+async fn report(shared: Handle, plan: ShutdownPlan) {
     loop {
         tell_remaining(&shared, plan);
         Timer::after(REPORT_EVERY).await;
@@ -95,7 +95,7 @@
 }
 
 /// Tells once what keeps the process up.
-fn tell_remaining(shared: &Handle, plan: PlannedEnd) {
+fn tell_remaining(shared: &Handle, plan: ShutdownPlan) {
     let Remaining { unanswered, playing, clients, unheard_ends } = shared.node.borrow().remaining();
     let unwritten = shared.boxes.borrow().values().filter(|outbox| !outbox.empty()).count();
     let now = shared.now();
--- a/src/operate/planned_end.rs
+++ b/src/operate/planned_end.rs
@@ -24,7 +24,7 @@
 
 /// By whose rules a process that was told to end is killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Killer {
+pub enum KillPolicy {
     /// The platform's; another process serves in this one's place already, or not.
     Platform {
         /// See there.
@@ -36,7 +36,7 @@
 
 /// What is still there, at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Left {
+pub struct RemainingWork {
     /// Requests that are owed an answer.
     pub unanswered: usize,
     /// Sessions that play and are held here.
@@ -76,17 +76,17 @@
 
 /// The plan of one process.
 #[derive(Clone, Copy, Debug)]
-pub struct PlannedEnd {
+pub struct ShutdownPlan {
     told_at: Micros,
-    killer: Killer,
+    killer: KillPolicy,
     kill_at: Micros,
     stage: Stage,
 }
 
-impl PlannedEnd {
+impl ShutdownPlan {
     /// A process was told to end. The longest deadline is that of the settings in force.
-    pub fn new(now: Micros, longest_deadline: Micros, killer: Killer) -> PlannedEnd {
-        let mut end = PlannedEnd { told_at: now, killer, kill_at: Micros::MAX, stage: Stage::StillComing };
+    pub fn new(now: Micros, longest_deadline: Micros, killer: KillPolicy) -> ShutdownPlan {
+        let mut end = ShutdownPlan { told_at: now, killer, kill_at: Micros::MAX, stage: Stage::StillComing };
         end.shorten(longest_deadline);
         end
     }
@@ -97,13 +97,13 @@
             return;
         }
         let kill_after = match self.killer {
-            Killer::Platform { successor_serves: false } => {
+            KillPolicy::Platform { successor_serves: false } => {
                 longest_deadline.min(LONGEST_COUNTED) + KILL_DELAY
             }
-            Killer::Platform { successor_serves: true } => {
+            KillPolicy::Platform { successor_serves: true } => {
                 longest_deadline.min(LONGEST_COUNTED_WITH_HEIR) + KILL_DELAY
             }
-            Killer::ProcessManager => GRACE_ELSEWHERE,
+            KillPolicy::ProcessManager => GRACE_ELSEWHERE,
         };
         self.kill_at = self.kill_at.min(self.told_at + kill_after);
     }
@@ -124,7 +124,7 @@
     }
 
     /// What is to be done now, if anything; to be asked until it gives none.
-    pub fn next(&mut self, now: Micros, left: Left) -> Option<Step> {
+    pub fn next(&mut self, now: Micros, left: RemainingWork) -> Option<Step> {
         let late = now >= self.answer_by();
         let nothing_kept =
             left.unanswered == 0 && left.playing == 0 && !left.accepting && !left.successor_serves;
@@ -141,7 +141,7 @@
         Some(step)
     }
 
-    fn parted(&self, now: Micros, since: Micros, left: Left) -> bool {
+    fn parted(&self, now: Micros, since: Micros, left: RemainingWork) -> bool {
         let waits = left.connections > 0 || left.unheard_ends > 0;
         now >= self.exit_by() || now >= since + WRITTEN_WITHIN && !waits
     }
