--- a/src/net/conns.rs
+++ b/src/net/conns.rs
@@ -196,5 +196,5 @@
     shared.room.ring();
     ended(&shared, conn, &format!("{}:{peer}", front.name()), reason, ended_with(&outbox, reason));
     let ends = outbox.take_ends();
-    step(&shared, |node, now, out| node.ends_returned(now, ends, out));
+    step(&shared, |node, now, out| node.requeue_session_ends(now, ends, out));
 }
--- a/src/net/ending.rs
+++ b/src/net/ending.rs
@@ -59,13 +59,13 @@
     };
     let mut plan = ShutdownPlan::new(shared.now(), longest(), killer);
     let mut answer_by = plan.answer_by();
-    step(shared, |node, now, out| node.ends_by(now, answer_by, out));
+    step(shared, |node, now, out| node.set_shutdown_deadline(now, answer_by, out));
     let reports = shared.executor.spawn(report(shared.clone(), plan));
     loop {
         plan.shorten(longest());
         if plan.answer_by() < answer_by {
             answer_by = plan.answer_by();
-            step(shared, |node, now, out| node.ends_by(now, answer_by, out));
+            step(shared, |node, now, out| node.set_shutdown_deadline(now, answer_by, out));
         }
         while let Some(next) = plan.next(shared.now(), ending.left(shared)) {
             let left_ms = (plan.kill_at() - shared.now()).0 / 1000;
@@ -73,7 +73,7 @@
             match next {
                 Step::LastCall => ending.last_calls.iter().for_each(|bell| bell.ring()),
                 // Nothing runs between the count and this: what comes from here on is turned away.
-                Step::CloseDoors => step(shared, |node, _, out| node.close_doors(out)),
+                Step::CloseDoors => step(shared, |node, _, out| node.start_refusing(out)),
                 Step::Release => step(shared, |node, now, out| node.end(now, out)),
                 Step::Exit => {
                     reports.cancel().await;
--- a/src/net/files.rs
+++ b/src/net/files.rs
@@ -90,7 +90,7 @@
             Told::SameScript(digest) => info!(event = "script.same", digest = digest.short().as_str()),
             Told::Script(digest, text) => {
                 let operations = self.setup.script.as_ref().map_or(0, |(_, operations)| *operations);
-                if step(shared, |node, _, _| node.rescript(&text, operations)) {
+                if step(shared, |node, _, _| node.replace_script(&text, operations)) {
                     info!(event = "script.taken", digest = digest.short().as_str());
                     self.script = Some(text);
                     self.save(shared);
@@ -176,7 +176,7 @@
         let old = self.lists.as_ref().and_then(|l| l.titles.as_ref());
         if let Some(titles) = lists.titles.as_ref().filter(|new| old != Some(new)) {
             let named = titles.iter().map(|t| config::title(t, shared.node.borrow().names())).collect();
-            shared.node.borrow_mut().retitle(named);
+            shared.node.borrow_mut().replace_titles(named);
             info!(event = "titles.taken", titles = titles.len(), digest = lists.digest.short().as_str());
         }
         self.lists = Some(lists);
@@ -239,7 +239,7 @@
             }
         }
         if let (Some((_, operations)), Some(text)) = (&self.setup.script, kept.text(Role::Script))
-            && shared.node.borrow_mut().rescript(text, *operations)
+            && shared.node.borrow_mut().replace_script(text, *operations)
         {
             self.script = Some(text.to_owned());
         }
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -78,12 +78,12 @@
                 giver::Action::Yield => {
                     info!(event = "yields");
                     self.gate.set(false);
-                    step(shared, |node, now, out| node.yields(now, out));
+                    step(shared, |node, now, out| node.yield_to_successor(now, out));
                     shared.executor.spawn(leave(shared.clone(), self.clone())).detach();
                 }
                 giver::Action::Resume => {
                     warn!(event = "serves again", reason = "the new process is gone");
-                    step(shared, |node, now, out| node.resumes(now, out));
+                    step(shared, |node, now, out| node.resume_serving(now, out));
                     self.gate.set(true);
                     listen(shared, self);
                 }
@@ -92,7 +92,9 @@
                         outbox.push(encode(&message), None);
                     }
                 }
-                giver::Action::Left(id) => step(shared, |node, now, out| node.ends(now, id, out)),
+                giver::Action::Left(id) => {
+                    step(shared, |node, now, out| node.client_left_at_peer(now, id, out))
+                }
                 giver::Action::Look => shared.executor.spawn(look(shared.clone(), self.clone())).detach(),
                 giver::Action::Leave => self.left.ring(),
             }
@@ -103,21 +105,23 @@
         for act in acts {
             match act {
                 heir::Action::Serve => {
-                    step(shared, |node, _, _| node.serves());
+                    step(shared, |node, _, _| node.start_serving());
                     self.gate.set(true);
                     info!(event = "serves");
                 }
                 heir::Action::Meet => listen(shared, self),
                 heir::Action::Leave => self.left.ring(),
                 heir::Action::AskAgain => self.again.ring(),
-                heir::Action::TakeTurns => step(shared, |node, now, out| node.takes_turns(now, out)),
-                heir::Action::Take(passed) => step(shared, |node, now, out| node.takes(now, &passed, out)),
+                heir::Action::TakeTurns => step(shared, |node, now, out| node.take_warm_up_turns(now, out)),
+                heir::Action::Take(passed) => {
+                    step(shared, |node, now, out| node.adopt_session(now, &passed, out))
+                }
                 heir::Action::TakeEnded(passed) => step(shared, |node, now, out| {
-                    node.takes(now, &passed, out);
-                    node.ends(now, passed.id, out);
+                    node.adopt_session(now, &passed, out);
+                    node.client_left_at_peer(now, passed.id, out);
                 }),
                 heir::Action::Told(message) => {
-                    step(shared, |node, now, out| node.hears_of(now, &message, out))
+                    step(shared, |node, now, out| node.handle_forwarded(now, &message, out))
                 }
                 heir::Action::Say(message) => {
                     if let Some(old) = &*self.old.borrow() {
@@ -153,7 +157,7 @@
         let unwritten = shared.boxes.borrow().values().any(|outbox| !outbox.empty());
         // What the process before passes comes by here; it would take this one's end for its heir's death.
         let passes_by = handover.old.borrow().is_some();
-        let anything = unwritten || passes_by || shared.node.borrow().waited_on();
+        let anything = unwritten || passes_by || shared.node.borrow().has_waiting_clients();
         handover.as_giver(&shared, |giver, out| giver.holds(anything, out));
         Timer::after(LOOK).await;
     }
@@ -171,7 +175,7 @@
 /// Starts: asks the process before this one, if there is one.
 pub(super) async fn start(shared: Handle, handover: Rc<Handover>) {
     let most_sessions = step(&shared, |node, _, _| {
-        node.starts();
+        node.await_predecessor();
         node.most_sessions()
     });
     let heir = Successor::new(shared.now(), handover.started, most_sessions);
--- a/src/net/presence.rs
+++ b/src/net/presence.rs
@@ -18,7 +18,7 @@
 /// What came on a connection is told, and keeps one that was to be let go.
 pub(super) fn hear(shared: &Handle, conn: ConnId, outbox: &Outbox, bytes: &[u8]) {
     if outbox.stay() {
-        step(shared, |node, now, _| node.stays(now, conn));
+        step(shared, |node, now, _| node.keep_open(now, conn));
     }
     step(shared, |node, now, out| node.bytes(now, conn, bytes, out));
 }
@@ -73,10 +73,10 @@
 
 /// The last look at a set-up before it leaves on a server's connection. What may not leave is taken back.
 pub(super) fn look(shared: &Handle, conn: ConnId, id: SessionId) {
-    let askers = shared.node.borrow().askers(id);
+    let askers = shared.node.borrow().requesting_connections(id);
     for asker in askers {
         hear_client(shared, asker);
     }
     board::hear_out(shared);
-    step(shared, |node, now, out| node.may_leave(now, conn, id, out));
+    step(shared, |node, now, out| node.may_send_set_up(now, conn, id, out));
 }
--- a/src/net/room.rs
+++ b/src/net/room.rs
@@ -38,7 +38,7 @@
     /// Waits until there is a descriptor for one more; connections that nothing needs make room.
     pub(super) async fn when_free(shared: &Handle) -> Linked {
         let full = || shared.linked.get() >= shared.budget.links;
-        until_room(shared, full, &shared.unlinked, |node, _, out| node.spare_link(out)).await;
+        until_room(shared, full, &shared.unlinked, |node, _, out| node.close_idle_link(out)).await;
         shared.linked.set(shared.linked.get() + 1);
         Linked(shared.clone())
     }
--- a/src/node/ending.rs
+++ b/src/node/ending.rs
@@ -35,7 +35,7 @@
 
 impl Node {
     /// The process ends: by then each request must have its answer.
-    pub fn ends_by(&mut self, now: Micros, at: Micros, out: &mut Vec<Command>) {
+    pub fn set_shutdown_deadline(&mut self, now: Micros, at: Micros, out: &mut Vec<Command>) {
         self.tell(now, Input::ShutdownDeadline(at), out);
     }
 
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -11,7 +11,7 @@
 
 impl Node {
     /// This process asks another, or nobody, whether it may serve.
-    pub fn starts(&mut self) {
+    pub fn await_predecessor(&mut self) {
         self.phase.start();
     }
 
@@ -21,18 +21,18 @@
     }
 
     /// It serves from now on.
-    pub fn serves(&mut self) {
+    pub fn start_serving(&mut self) {
         self.phase.serve();
     }
 
     /// It may take turns at cold servers that begin from now on.
-    pub fn takes_turns(&mut self, now: Micros, out: &mut Vec<Command>) {
+    pub fn take_warm_up_turns(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.tell(now, Input::WarmUpTurnsFrom(now), out);
     }
 
     /// Another process serves from now on: no turn at cold servers is taken any more, what stands is passed, and
     /// clients' connections are let go.
-    pub fn yields(&mut self, now: Micros, out: &mut Vec<Command>) {
+    pub fn yield_to_successor(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.phase.yields();
         self.let_go_at = now;
         self.tell(now, Input::WarmUpTurnsFrom(Micros::MAX), out);
@@ -45,7 +45,7 @@
     /// The other process is gone: this one serves again. Sessions that were passed play on and are named again by
     /// their clients. A turn at a cold server that began before may have been the other's; those that begin from now on
     /// are this process's, also if it was told to end: whoever comes next asks it at the meeting point first.
-    pub fn resumes(&mut self, now: Micros, out: &mut Vec<Command>) {
+    pub fn resume_serving(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.phase.resumes();
         self.let_go_at = self.phase.lets_go_from().unwrap_or(Micros::MAX);
         self.passed.clear();
@@ -69,7 +69,7 @@
     }
 
     /// Takes a session that another process held.
-    pub fn takes(&mut self, now: Micros, passed: &SessionTransfer, out: &mut Vec<Command>) {
+    pub fn adopt_session(&mut self, now: Micros, passed: &SessionTransfer, out: &mut Vec<Command>) {
         let class = self.names.class(&passed.class);
         let tenant = self.names.tenant(&passed.tenant).unwrap_or(0);
         let (id, server) = (SessionId(passed.id), ServerId::new(&passed.server));
@@ -88,12 +88,12 @@
         }
         let before = out.len();
         // A server that drains may turn new connections down though its sessions play.
-        self.links.attend_passed(now, &server, out);
+        self.links.ensure_connected_after_handover(now, &server, out);
         self.dialled(now, &server, "notes", &out[before..]);
     }
 
     /// What the other process heard of a session that is here now.
-    pub fn hears_of(&mut self, now: Micros, message: &Message, out: &mut Vec<Command>) {
+    pub fn handle_forwarded(&mut self, now: Micros, message: &Message, out: &mut Vec<Command>) {
         if let Message::Over { id, .. } | Message::Noted { id, .. } = message
             && self.passed.contains_key(&SessionId(*id))
         {
@@ -111,13 +111,13 @@
                     self.tell(now, Input::Note { id: SessionId(*id), server, note }, out);
                 }
             }
-            Message::Left { id } => self.ends(now, *id, out),
+            Message::Left { id } => self.client_left_at_peer(now, *id, out),
             _ => {}
         }
     }
 
     /// A client left a session, as the other process heard.
-    pub fn ends(&mut self, now: Micros, id: u64, out: &mut Vec<Command>) {
+    pub fn client_left_at_peer(&mut self, now: Micros, id: u64, out: &mut Vec<Command>) {
         let id = SessionId(id);
         if self.broker.knows(id) {
             self.forget(id);
@@ -127,7 +127,7 @@
 
     /// Whether a client waits here for an answer, or has a connection that it may ask on; or a server that drains
     /// can tell of what it still plays nowhere else, as it turns new connections down.
-    pub fn waited_on(&self) -> bool {
+    pub fn has_waiting_clients(&self) -> bool {
         self.broker.unanswered() > 0
             || !self.viewers.is_empty()
             || self.links.waiting()
--- a/src/node/leaving.rs
+++ b/src/node/leaving.rs
@@ -14,7 +14,7 @@
 
 impl Node {
     /// The connections of those that a request is asked on. They are heard out before an attempt of it leaves.
-    pub fn askers(&self, id: SessionId) -> Vec<ConnId> {
+    pub fn requesting_connections(&self, id: SessionId) -> Vec<ConnId> {
         match self.homes.get(&id) {
             Some(home) => vec![*home],
             None => self.whip.iter().flat_map(|whip| whip.waiters(id)).collect(),
@@ -23,7 +23,13 @@
 
     /// Whether a set-up may leave now on a server's connection. One that may not is taken back, and its attempt has
     /// ended without having run.
-    pub fn may_leave(&mut self, now: Micros, conn: ConnId, id: SessionId, out: &mut Vec<Command>) -> bool {
+    pub fn may_send_set_up(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        id: SessionId,
+        out: &mut Vec<Command>,
+    ) -> bool {
         // What is due by the clock comes first: an attempt whose time is over, a request whose client is gone.
         self.tell(now, Input::Tick, out);
         // A paid set-up that is out runs to its end though its client has gone; one that is not out never begins.
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -175,14 +175,14 @@
     }
 
     /// Takes new titles in; sessions of titles that are no longer there play on.
-    pub fn retitle(&mut self, titles: BTreeMap<String, Title>) {
+    pub fn replace_titles(&mut self, titles: BTreeMap<String, Title>) {
         if let Some(whip) = &mut self.whip {
-            whip.retitle(titles);
+            whip.replace_titles(titles);
         }
     }
 
     /// Takes a new script in. False if it can't be used: the old one stays.
-    pub fn rescript(&mut self, text: &str, operations: u64) -> bool {
+    pub fn replace_script(&mut self, text: &str, operations: u64) -> bool {
         let hook = Hook::new(text, operations).ok();
         let good = hook.is_some();
         self.hook = hook.or(self.hook.take());
--- a/src/node/operate.rs
+++ b/src/node/operate.rs
@@ -79,7 +79,7 @@
 
     /// All that was taken is answered and the process ends: from now on what comes is turned away at once, and all
     /// clients' connections are let go.
-    pub fn close_doors(&mut self, out: &mut Vec<Command>) {
+    pub fn start_refusing(&mut self, out: &mut Vec<Command>) {
         self.phase.close();
         self.let_all_go(out);
         if let Some(whip) = &mut self.whip {
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -33,9 +33,9 @@
     }
 
     /// Descriptors are short: a connection to a server where nothing plays makes room.
-    pub fn spare_link(&mut self, out: &mut Vec<Command>) {
+    pub fn close_idle_link(&mut self, out: &mut Vec<Command>) {
         let broker = &self.broker;
-        self.links.spare(|server| broker.has_established_at(server), out);
+        self.links.close_idle(|server| broker.has_established_at(server), out);
     }
 
     /// Finds out by one more connection whether a server is lost.
--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -26,7 +26,7 @@
         self.refront(config, &merged);
         let Merged { settings, names, waits, .. } = merged;
         self.timings = Timings::new(&settings, config.idle, config.connect_timeout);
-        self.links.retime(self.timings);
+        self.links.update_timings(self.timings);
         (self.names, self.settings, self.renamed_at) = (names, settings.clone(), now);
         self.tell(now, Input::Settings(Box::new(settings)), out);
         waits
--- a/src/node/viewers.rs
+++ b/src/node/viewers.rs
@@ -73,19 +73,19 @@
                 self.homes.entry(request.id).or_insert(conn);
                 self.tell(now, Input::ExistingSession(request, server.clone()), out);
                 let before = out.len();
-                self.links.attend(now, &server, out);
+                self.links.ensure_connected(now, &server, out);
                 self.dialled(now, &server, "notes", &out[before..]);
             }
         }
     }
 
     /// A connection that was to be let go stays: its client has said something.
-    pub fn stays(&mut self, now: Micros, conn: ConnId) {
+    pub fn keep_open(&mut self, now: Micros, conn: ConnId) {
         if let Some(c) = self.viewers.get_mut(&conn) {
             (c.closing, c.used) = (false, now);
         }
         if let Some(whip) = &mut self.whip {
-            whip.stays(now, conn);
+            whip.keep_open(now, conn);
         }
     }
 
@@ -210,7 +210,7 @@
     }
 
     /// Ends of sessions that were not written whole when their connection ended: they go out on another, or on the next.
-    pub fn ends_returned(&mut self, now: Micros, ends: Vec<Vec<u8>>, out: &mut Vec<Command>) {
+    pub fn requeue_session_ends(&mut self, now: Micros, ends: Vec<Vec<u8>>, out: &mut Vec<Command>) {
         for bytes in ends {
             self.tell_end(now, None, bytes, out);
         }
--- a/src/platform/links.rs
+++ b/src/platform/links.rs
@@ -163,22 +163,27 @@
     }
 
     /// Opens a connection where none is, so that a server's notes and releases have a way.
-    pub fn attend(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) {
+    pub fn ensure_connected(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) {
         if self.usable(now, server).is_none() {
             self.dial(now, server, out);
         }
     }
 
     /// The same for a server with sessions that another process held: how long it was not heard of counts from now.
-    pub fn attend_passed(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) {
+    pub fn ensure_connected_after_handover(
+        &mut self,
+        now: Micros,
+        server: &ServerId,
+        out: &mut Vec<Command>,
+    ) {
         if self.addresses.contains_key(server) {
             self.alive.entry(server.clone()).or_insert(now);
         }
-        self.attend(now, server, out);
+        self.ensure_connected(now, server, out);
     }
 
     /// Other times of servers from now on: when they close idle connections, and how often and late they tell.
-    pub fn retime(&mut self, timings: Timings) {
+    pub fn update_timings(&mut self, timings: Timings) {
         self.timings = timings;
     }
 
--- a/src/platform/links/tests.rs
+++ b/src/platform/links/tests.rs
@@ -9,7 +9,7 @@
     let mut links = Links::new(Timings::new(&settings, Micros(0), Micros(250_000)));
     let (server, mut out) = (ServerId::new("s"), Vec::new());
     links.listed(&server, ([127, 0, 0, 1], 1).into(), ServerState::Ready, &mut out);
-    links.attend(start, &server, &mut out);
+    links.ensure_connected(start, &server, &mut out);
     let Some(Command::Dial(conn, _)) = out.first() else { panic!("{out:?}") };
     links.opened(start, *conn, &mut Vec::new());
     let silent = |links: &Links, now| links.silent(now, [server.clone()].into_iter());
--- a/src/platform/links/words.rs
+++ b/src/platform/links/words.rs
@@ -13,7 +13,7 @@
     Dial(ConnId, SocketAddr),
     /// Write bytes; a set-up's are marked by its session.
     Write(ConnId, Vec<u8>, Option<SessionId>),
-    /// Write the end of a session, which its client has to hear of: see [`crate::node::Node::ends_returned`].
+    /// Write the end of a session, which its client has to hear of: see [`crate::node::Node::requeue_session_ends`].
     WriteSessionEnd(ConnId, Vec<u8>),
     /// Take a set-up back if not a byte of it was written; else write this behind it. Unless it is empty,
     /// [`crate::node::Node::withdrawn`] is to be told once either is done.
@@ -21,7 +21,7 @@
     /// Write out what is queued, then close, leaving a log line with this reason.
     Close(ConnId, &'static str),
     /// Write out what is queued, then close, unless the client has said something that was not heard yet: then the
-    /// connection stays, see [`crate::node::Node::stays`].
+    /// connection stays, see [`crate::node::Node::keep_open`].
     CloseIfQuiet(ConnId, &'static str),
     /// Write out what is queued, then only read until the server has closed too: what it wrote before is heard.
     LingeringClose(ConnId, &'static str),
--- a/src/platform/links/writing.rs
+++ b/src/platform/links/writing.rs
@@ -67,7 +67,7 @@
 
     /// Descriptors are short: the connection goes that was used the longest ago, of those that nothing is set up on
     /// and that lead to a server that is not `busy`.
-    pub fn spare(&mut self, busy: impl Fn(&ServerId) -> bool, out: &mut Vec<Command>) {
+    pub fn close_idle(&mut self, busy: impl Fn(&ServerId) -> bool, out: &mut Vec<Command>) {
         let idle =
             |l: &Link| l.up() && !l.broken && l.set_ups.is_empty() && l.queue.is_empty() && !busy(&l.server);
         let spare = self.links.iter_mut().filter(|(_, l)| idle(l)).min_by_key(|(_, l)| l.used);
--- a/src/whip/mod.rs
+++ b/src/whip/mod.rs
@@ -71,7 +71,7 @@
     Write(ConnId, [Vec<u8>; 2], Option<SessionId>),
     /// End a connection once all is written.
     Close(ConnId, &'static str),
-    /// The same, unless its client says something before: see [`WhipFront::stays`].
+    /// The same, unless its client says something before: see [`WhipFront::keep_open`].
     CloseIfQuiet(ConnId, &'static str),
     /// Pass a fragment of trickle ICE on to the session's server; its answer comes by [`WhipFront::patched`].
     Patch {
@@ -177,7 +177,7 @@
     }
 
     /// Takes new titles in; sessions that stand play on.
-    pub fn retitle(&mut self, titles: BTreeMap<String, Title>) {
+    pub fn replace_titles(&mut self, titles: BTreeMap<String, Title>) {
         self.setup.titles = titles;
     }
 
@@ -767,7 +767,7 @@
     }
 
     /// A connection that was to be let go stays: its client has said something.
-    pub fn stays(&mut self, now: Micros, conn: ConnId) {
+    pub fn keep_open(&mut self, now: Micros, conn: ConnId) {
         if let Some(c) = self.conns.get_mut(&conn) {
             (c.closing, c.used) = (false, now);
         }
