--- a/src/cli/quorum_calls.rs
+++ b/src/cli/quorum_calls.rs
@@ -53,7 +53,7 @@
 }
 
 /// The quorum that a file names.
-pub(super) fn quorum_of(path: &Path) -> Result<quorum::Setup, Findings> {
+pub(super) fn quorum_of(path: &Path) -> Result<quorum::QuorumConfig, Findings> {
     let required = || Finding {
         file: path.display().to_string(),
         ..Finding::setting("quorum", "required for this command")
--- a/src/config.rs
+++ b/src/config.rs
@@ -62,13 +62,13 @@
     /// What lists of servers and titles may hold.
     pub bounds: Bounds,
     /// Files that are watched, if any are.
-    pub watch: Option<watch::Setup>,
+    pub watch: Option<watch::WatchConfig>,
     /// The WHIP front, if it is on.
     pub whip: Option<Whip>,
     /// The registry, if there is one.
-    pub eureka: Option<eureka::Setup>,
+    pub eureka: Option<eureka::EurekaConfig>,
     /// The quorum, if this process is part of one.
-    pub quorum: Option<quorum::Setup>,
+    pub quorum: Option<quorum::QuorumConfig>,
     /// The script, if there is one, and the operations it may do in a call.
     pub hook: Option<(String, u64)>,
 }
@@ -79,7 +79,7 @@
     /// Where it listens.
     pub listen: SocketAddr,
     /// The rest.
-    pub setup: whip::Setup,
+    pub setup: whip::WhipConfig,
 }
 
 /// Gives access to a part of a file by path, for messages that name the field.
@@ -128,7 +128,7 @@
 }
 
 fn whip(record: &WhipRecord, file: &OperatorFile, names: &SettingNames) -> Whip {
-    let setup = whip::Setup {
+    let setup = whip::WhipConfig {
         titles: file.title.iter().map(|title| self::title(title, names)).collect(),
         origin: record.origin.clone().unwrap_or_else(|| "*".to_owned()),
         reclaim: ms(record.reclaim_ms, 10_000),
@@ -139,7 +139,7 @@
     Whip { listen: record.listen.0, setup }
 }
 
-fn read_eureka(record: &EurekaRecord, config: &Config) -> Read<eureka::Setup> {
+fn read_eureka(record: &EurekaRecord, config: &Config) -> Read<eureka::EurekaConfig> {
     let form = "not of the form http://IP:PORT/PATH";
     let Some(rest) = record.url.strip_prefix("http://") else { return wrong("eureka.url", form) };
     let (address, path) = rest.split_once('/').unwrap_or((rest, ""));
@@ -159,16 +159,16 @@
                 return wrong("eureka.advertise", "required");
             };
             let id = plain("eureka.register", &format!("{}:{}", config.name, address.port()))?;
-            Some(eureka::Own { app: plain("eureka.register", app)?, id, address })
+            Some(eureka::Registration { app: plain("eureka.register", app)?, id, address })
         }
     };
     let period = |told: Option<u64>, or: u64| ms(Some(told.unwrap_or(or).max(100)), or);
     let (fetch, beat) = (period(record.fetch_ms, 5_000), period(record.heartbeat_ms, 30_000));
-    Ok(eureka::Setup { address, path, servers: record.servers.clone(), register, fetch, beat })
+    Ok(eureka::EurekaConfig { address, path, servers: record.servers.clone(), register, fetch, beat })
 }
 
 /// What is watched; paths start from the folder of the operator's file.
-fn watched(record: &WatchRecord, hook: Option<&HookRecord>, base: &Path) -> Read<watch::Setup> {
+fn watched(record: &WatchRecord, hook: Option<&HookRecord>, base: &Path) -> Read<watch::WatchConfig> {
     let file = |role: Role, name: &String| Watched { role, name: name.clone(), path: base.join(name) };
     let lists: Vec<Watched> =
         [(Role::Servers, &record.servers), (Role::Weights, &record.weights), (Role::Titles, &record.titles)]
@@ -186,7 +186,7 @@
         return wrong("watch.unsealed", reason);
     }
     let script = hook.map(|h| (file(Role::Script, &h.script), h.operations.unwrap_or(OPERATIONS)));
-    Ok(watch::Setup {
+    Ok(watch::WatchConfig {
         lists,
         script,
         base: base.to_owned(),
@@ -209,7 +209,7 @@
 }
 
 /// What the file says of the quorum; paths start from its folder.
-fn read_quorum(record: &QuorumRecord, name: &str, base: &Path) -> quorum::Setup {
+fn read_quorum(record: &QuorumRecord, name: &str, base: &Path) -> quorum::QuorumConfig {
     let lease = record.lease_ms.unwrap_or(2_000);
     let name = quorum::Name(name.to_owned());
     let voter = |v: &crate::records::VoterRecord| quorum::Voter {
@@ -220,7 +220,7 @@
     let voters: Vec<quorum::Voter> = of(false).map(voter).collect();
     let spares: Vec<quorum::Voter> = of(true).map(voter).collect();
     let own = voters.iter().chain(&spares).find(|v| v.name == name).map(|v| v.address);
-    quorum::Setup {
+    quorum::QuorumConfig {
         cluster: record.cluster.clone(),
         listen: own.map(|own| record.listen.map_or(own, |a| a.0)),
         folder: record.folder.as_ref().map(|dir| base.join(dir)),
--- a/src/eureka.rs
+++ b/src/eureka.rs
@@ -12,7 +12,7 @@
 
 /// How a broker takes part in a registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Setup {
+pub struct EurekaConfig {
     /// Where the registry listens.
     pub address: SocketAddr,
     /// Path that its resources lie under, such as `/eureka`.
@@ -20,7 +20,7 @@
     /// The application that the edge servers are registered as.
     pub servers: String,
     /// The application that this broker registers as; none: it doesn't.
-    pub register: Option<Own>,
+    pub register: Option<Registration>,
     /// Time between fetches.
     pub fetch: Micros,
     /// Time between heartbeats.
@@ -29,7 +29,7 @@
 
 /// What a broker registers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Own {
+pub struct Registration {
     /// Its application.
     pub app: String,
     /// Its instance id.
@@ -64,7 +64,7 @@
 /// Takes part in one registry.
 #[derive(Debug)]
 pub struct Eureka {
-    setup: Setup,
+    setup: EurekaConfig,
     names: SettingNames,
     registered: bool,
     beat_at: Micros,
@@ -81,7 +81,7 @@
 
 impl Eureka {
     /// Knows nothing of the registry yet.
-    pub fn new(setup: Setup, names: SettingNames) -> Eureka {
+    pub fn new(setup: EurekaConfig, names: SettingNames) -> Eureka {
         let (beat_at, fetch_at) = (Micros(0), Micros(0));
         Eureka { setup, names, registered: false, beat_at, fetch_at, known: None }
     }
@@ -112,7 +112,7 @@
     pub fn request(&self, call: Call) -> Vec<u8> {
         let (host, root) = (self.setup.address.to_string(), &self.setup.path);
         let headers = [("Accept", "application/json"), ("Connection", "close")];
-        let own = |o: &Own| format!("{root}/apps/{}/{}", o.app, o.id);
+        let own = |o: &Registration| format!("{root}/apps/{}/{}", o.app, o.id);
         let plain = |method: &str, path: &str| client::request(method, &host, path, &headers, None);
         match (call, &self.setup.register) {
             (Call::Register, Some(o)) => {
@@ -271,7 +271,7 @@
     counts.iter().map(|(status, n)| format!("{status}_{n}_")).collect()
 }
 
-fn registration(own: &Own) -> Value {
+fn registration(own: &Registration) -> Value {
     let (host, port) = (own.address.ip().to_string(), own.address.port());
     json!({"instance": {
         "instanceId": own.id, "hostName": host, "app": own.app, "ipAddr": host, "status": "UP",
--- a/src/net/files.rs
+++ b/src/net/files.rs
@@ -23,7 +23,7 @@
 use crate::watch::judge::{self, Lists, Role};
 use crate::watch::seal;
 use crate::watch::state::{Kept, Store};
-use crate::watch::{Act, SetId, Setup, Told, Touch, Watch};
+use crate::watch::{Act, SetId, Told, Touch, Watch, WatchConfig};
 
 /// What the thread is told.
 enum Word {
@@ -37,7 +37,7 @@
 
 /// The serving side of watched files.
 pub(super) struct Files {
-    setup: Setup,
+    setup: WatchConfig,
     bounds: Bounds,
     to: mpsc::Sender<Word>,
     /// Lists that are held back.
@@ -286,7 +286,7 @@
 }
 
 /// Reads the watched files for the first time and starts to watch them.
-pub(super) fn start(shared: &Handle, config: &Config, setup: Setup) -> Rc<RefCell<Files>> {
+pub(super) fn start(shared: &Handle, config: &Config, setup: WatchConfig) -> Rc<RefCell<Files>> {
     let (to, from) = mpsc::channel();
     let bounds = config.bounds.clone();
     let mut files = Files {
@@ -473,7 +473,7 @@
 }
 
 impl Eyes {
-    fn new(setup: &Setup, to: mpsc::Sender<Word>) -> Eyes {
+    fn new(setup: &WatchConfig, to: mpsc::Sender<Word>) -> Eyes {
         let all = setup.lists.iter().chain(setup.script.iter().map(|(file, _)| file));
         let files = all.map(|f| (f.role, f.path.clone())).collect();
         let watcher = setup.notify.then(|| {
--- a/src/net/quorum.rs
+++ b/src/net/quorum.rs
@@ -37,7 +37,7 @@
 use crate::quorum::machine::Event;
 use crate::quorum::queue::Queue;
 use crate::quorum::record::{self, Done, Job};
-use crate::quorum::{BootTime, Incarnation, Input, Machine, Out, Setup, VoterId};
+use crate::quorum::{BootTime, Incarnation, Input, Machine, Out, QuorumConfig, VoterId};
 use crate::rules::standing::{Standing, Sure};
 
 /// A link that doesn't come up within this has failed.
@@ -200,7 +200,7 @@
 /// Begins this process's part.
 pub fn start(
     executor: &Rc<LocalExecutor<'static>>,
-    setup: &Setup,
+    setup: &QuorumConfig,
     incarnation: Incarnation,
     fronts: Box<dyn Fn(FleetPosition)>,
     rules: Box<dyn Fn(Standing)>,
--- a/src/net/quorum/commands.rs
+++ b/src/net/quorum/commands.rs
@@ -16,7 +16,7 @@
 use crate::quorum::frame::{self, Frame, Hello, Reader};
 use crate::quorum::record;
 use crate::quorum::view::{RulesStatus, Status};
-use crate::quorum::{Duty, Name, Setup, Voter};
+use crate::quorum::{Duty, Name, QuorumConfig, Voter};
 use crate::rules::version::{Fate, Proposal, Unproposed, Version};
 
 /// How long a command waits for an answer.
@@ -58,7 +58,7 @@
     within(COMMAND, work).await
 }
 
-fn hello(setup: &Setup) -> Hello {
+fn hello(setup: &QuorumConfig) -> Hello {
     Hello {
         cluster: setup.cluster.clone(),
         process: None,
@@ -69,7 +69,7 @@
 }
 
 /// Processes that keep a log, in the order in which a command asks them: this one first, if it does.
-fn asked(setup: &Setup) -> Vec<(String, SocketAddr)> {
+fn asked(setup: &QuorumConfig) -> Vec<(String, SocketAddr)> {
     let own = |v: &&Voter| v.name == setup.name;
     let address = |v: &Voter| {
         (v.name.0.clone(), if v.name == setup.name { setup.listen.unwrap_or(v.address) } else { v.address })
@@ -83,7 +83,7 @@
 
 /// Asks one process after another until one answers as the leader does: its name and the answer; else what each said.
 fn ask_leader<T>(
-    setup: &Setup,
+    setup: &QuorumConfig,
     frame: &Frame,
     answer: impl Fn(Frame) -> Option<Answered<T>>,
 ) -> Result<(String, T), String> {
@@ -101,7 +101,7 @@
 /// Asks one process after another how things stand, until one answers that a majority vouches for; else the best of
 /// what was answered.
 fn ask_best<T>(
-    setup: &Setup,
+    setup: &QuorumConfig,
     frame: &Frame,
     answer: impl Fn(Frame) -> Option<T>,
     vouched: impl Fn(&T) -> bool,
@@ -124,7 +124,7 @@
 }
 
 /// How things stand, told by the leader where one is known, else by the first voter that answers.
-pub fn show(setup: &Setup) -> Result<Status, String> {
+pub fn show(setup: &QuorumConfig) -> Result<Status, String> {
     let answer = |frame: Frame| match frame {
         Frame::Status(status) => Some(*status),
         _ => None,
@@ -136,7 +136,7 @@
 }
 
 /// Asks the leader to have a duty handed on.
-pub fn hand_on(setup: &Setup, duty: &str) -> Result<(), String> {
+pub fn hand_on(setup: &QuorumConfig, duty: &str) -> Result<(), String> {
     let no = || format!("does not lead, or nobody holds {duty}");
     let answer = |frame: Frame| match frame {
         Frame::HandingOn(done, _) => Some(if done { Ok(()) } else { Err(no()) }),
@@ -149,7 +149,7 @@
 const THROUGH: Duration = Duration::from_secs(30);
 
 /// Has a voter replaced by a process that offers itself, and waits until the new voters have a leader.
-pub fn replace(setup: &Setup, gone: &str, new: &str) -> Result<Status, String> {
+pub fn replace(setup: &QuorumConfig, gone: &str, new: &str) -> Result<Status, String> {
     let frame = Frame::Replace(Name(gone.to_owned()), Name(new.to_owned()));
     // Whatever else the leader says, whoever else is asked does not know better.
     let answer = |frame: Frame| match frame {
@@ -173,7 +173,7 @@
 }
 
 /// The rules, told by the leader where one is known, else by the first that answers.
-pub fn rules(setup: &Setup) -> Result<RulesStatus, String> {
+pub fn rules(setup: &QuorumConfig) -> Result<RulesStatus, String> {
     let answer = |frame: Frame| match frame {
         Frame::RulesAre(status) => Some(*status),
         _ => None,
@@ -183,7 +183,7 @@
 }
 
 /// Proposes a document of rules; with `wait` until it is in force. Gives its number.
-pub fn propose(setup: &Setup, proposal: &Proposal, wait: bool) -> Result<u64, String> {
+pub fn propose(setup: &QuorumConfig, proposal: &Proposal, wait: bool) -> Result<u64, String> {
     let at_ms = unix().0 / 1_000;
     let frame = Frame::Propose(Box::new(Proposal { at_ms, ..proposal.clone() }));
     let answer = |frame: Frame| match frame {
@@ -196,7 +196,7 @@
     if wait { in_force(setup, number, &Version::digest_of(&proposal.text)) } else { Ok(number) }
 }
 
-fn in_force(setup: &Setup, number: u64, digest: &str) -> Result<u64, String> {
+fn in_force(setup: &QuorumConfig, number: u64, digest: &str) -> Result<u64, String> {
     let until = Instant::now() + THROUGH;
     while Instant::now() < until {
         if let Ok(status) = rules(setup)
@@ -225,7 +225,7 @@
 }
 
 /// Has the announced version withdrawn.
-pub fn abort(setup: &Setup, number: u64) -> Result<(), String> {
+pub fn abort(setup: &QuorumConfig, number: u64) -> Result<(), String> {
     let no = || format!("does not lead, or version {number} is not announced");
     let answer = |frame: Frame| match frame {
         Frame::Aborting(done) => Some(if done { Ok(()) } else { Err(no()) }),
--- a/src/quorum/council.rs
+++ b/src/quorum/council.rs
@@ -8,7 +8,7 @@
 
 use super::book::Book;
 use super::journal::Roster;
-use super::{Name, Setup, VoterId};
+use super::{Name, QuorumConfig, VoterId};
 
 /// The number of a process that has no vote.
 pub const NOBODY: VoterId = 0;
@@ -90,7 +90,7 @@
 
 impl Council {
     /// The first one: the voters of the file.
-    pub fn first(setup: &Setup) -> Council {
+    pub fn first(setup: &QuorumConfig) -> Council {
         let voter = |(i, v): (usize, &super::Voter)| Councillor {
             id: i as VoterId + 1,
             name: v.name.clone(),
--- a/src/quorum/holder.rs
+++ b/src/quorum/holder.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use super::frame::Told;
-use super::{BootTime, Duty, Epoch, Setup};
+use super::{BootTime, Duty, Epoch, QuorumConfig};
 use crate::mutant::{self, Mutant};
 
 /// Beats whose moment of sending is remembered; an answer to an older one is of no use.
@@ -72,7 +72,7 @@
     }
 
     /// A beat was answered.
-    pub fn told(&mut self, now: BootTime, told: &Told, setup: &Setup) -> Vec<News> {
+    pub fn told(&mut self, now: BootTime, told: &Told, setup: &QuorumConfig) -> Vec<News> {
         let mut news = self.expire(now);
         let sent = self.sent_at(told.seq);
         let Some(sent) = sent.filter(|_| told.seq > self.heard) else { return news };
@@ -167,8 +167,8 @@
     use crate::api::Micros;
     use crate::quorum::{Name, Process, Reign};
 
-    fn setup() -> Setup {
-        Setup {
+    fn setup() -> QuorumConfig {
+        QuorumConfig {
             cluster: "c".into(),
             name: Name("a".into()),
             listen: None,
--- a/src/quorum/ledger.rs
+++ b/src/quorum/ledger.rs
@@ -8,7 +8,7 @@
 use super::council::{Council, Offer};
 use super::frame::{Beat, Counts, Told};
 use super::view::{Fleet, Mate, View};
-use super::{BootTime, Duty, Epoch, Name, Process, RECORD, Reign, Setup, VoterId};
+use super::{BootTime, Duty, Epoch, Name, Process, QuorumConfig, RECORD, Reign, VoterId};
 use crate::api::Micros;
 use crate::mutant::{self, Mutant};
 use crate::rules::force::Forcing;
@@ -61,7 +61,7 @@
 /// What the leader knows for itself.
 #[derive(Clone, Debug)]
 pub struct Ledger {
-    setup: Setup,
+    setup: QuorumConfig,
     me: VoterId,
     council: u32,
     majority: usize,
@@ -91,7 +91,7 @@
 impl Ledger {
     /// A leader whose reign has just come into the book.
     pub fn new(
-        setup: &Setup,
+        setup: &QuorumConfig,
         council: &Council,
         me: VoterId,
         ballot: u32,
--- a/src/quorum/ledger/tests.rs
+++ b/src/quorum/ledger/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::quorum::{Incarnation, Voter};
 
-fn setup() -> Setup {
+fn setup() -> QuorumConfig {
     let voter = |n: u16| Voter { name: Name(format!("v{n}")), address: ([127, 0, 0, 1], n).into() };
-    Setup {
+    QuorumConfig {
         cluster: "c".into(),
         name: Name("v1".into()),
         listen: None,
--- a/src/quorum/machine.rs
+++ b/src/quorum/machine.rs
@@ -16,7 +16,7 @@
 use super::record::{self, Done, Job, Writer};
 use super::store::Store;
 use super::view::{DutyStatus, Fleet, MemberStatus, Status, View, VoterStatus};
-use super::{BootTime, Duty, Epoch, IDLE, Incarnation, Name, Process, RECORD, Setup, VoterId};
+use super::{BootTime, Duty, Epoch, IDLE, Incarnation, Name, Process, QuorumConfig, RECORD, VoterId};
 use crate::api::Micros;
 use crate::mutant::{self, Mutant};
 use crate::rules::standing::{Standing, Sure};
@@ -157,7 +157,7 @@
 
 /// One process's part in a quorum.
 pub struct Machine {
-    setup: Setup,
+    setup: QuorumConfig,
     process: Process,
     council: Council,
     seat: Option<Seat>,
@@ -188,7 +188,7 @@
 impl Machine {
     /// A process in a run of its own; a voter brings what its journal held, or why it can't be used.
     pub fn new(
-        setup: &Setup,
+        setup: &QuorumConfig,
         incarnation: Incarnation,
         journal: Option<Result<Option<Read>, Barred>>,
         now: BootTime,
--- a/src/quorum/mod.rs
+++ b/src/quorum/mod.rs
@@ -76,7 +76,7 @@
 
 /// What the operator's file says of the quorum.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Setup {
+pub struct QuorumConfig {
     /// The cluster's name: processes of others are turned away.
     pub cluster: String,
     /// This process's name.
@@ -111,7 +111,7 @@
     pub record: Option<PathBuf>,
 }
 
-impl Setup {
+impl QuorumConfig {
     /// Whether this process is among the voters that found the cluster.
     pub fn founds(&self) -> bool {
         self.voters.iter().any(|v| v.name == self.name)
--- a/src/watch/check.rs
+++ b/src/watch/check.rs
@@ -4,14 +4,14 @@
 
 use super::judge::{self, Reading, Role};
 use super::seal::{self, Comment};
-use super::{Read, Setup};
+use super::{Read, WatchConfig};
 use crate::records::{Bounds, Finding, Findings};
 
 /// How a file is read: by its path, up to so many bytes.
 pub type Reader<'a> = &'a dyn Fn(&Path, u64) -> Read;
 
 /// Checks the files that are watched; gives a few words on what they hold.
-pub fn check(setup: &Setup, bounds: &Bounds, read: Reader<'_>) -> Result<String, Findings> {
+pub fn check(setup: &WatchConfig, bounds: &Bounds, read: Reader<'_>) -> Result<String, Findings> {
     // Whether a rename brought a file is not known here: where that would do, the rest is checked.
     let renamed = |_: Role| setup.unsealed;
     let reading = |path: &Path| -> Reading { read(path, setup.most).map(|(bytes, _)| bytes) };
--- a/src/watch/mod.rs
+++ b/src/watch/mod.rs
@@ -35,7 +35,7 @@
 
 /// What is watched, and how.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Setup {
+pub struct WatchConfig {
     /// The lists.
     pub lists: Vec<Watched>,
     /// The script, and the operations that a call of it may do.
@@ -152,7 +152,7 @@
 #[derive(Debug)]
 pub struct Watch {
     sets: Vec<Set>,
-    setup: Setup,
+    setup: WatchConfig,
     bounds: Bounds,
     limiter: Limiter,
     /// Contents that were in use before this start, and count as proved.
@@ -161,7 +161,7 @@
 
 impl Watch {
     /// Nothing was read yet: all is due.
-    pub fn new(setup: Setup, bounds: Bounds, now: Micros) -> Watch {
+    pub fn new(setup: WatchConfig, bounds: Bounds, now: Micros) -> Watch {
         let mut sets = Vec::new();
         let script = setup.script.iter().map(|(file, _)| file.clone()).collect::<Vec<_>>();
         for (id, files) in [(SetId::Lists, setup.lists.clone()), (SetId::Script, script)] {
@@ -189,7 +189,7 @@
     }
 
     /// What is watched.
-    pub fn setup(&self) -> &Setup {
+    pub fn setup(&self) -> &WatchConfig {
         &self.setup
     }
 
--- a/src/watch/tests.rs
+++ b/src/watch/tests.rs
@@ -33,9 +33,9 @@
     roles.iter().map(file).collect()
 }
 
-fn setup(roles: &[Role], unsealed: bool) -> Setup {
+fn setup(roles: &[Role], unsealed: bool) -> WatchConfig {
     let script = watched(&[Role::Script]).remove(0);
-    Setup {
+    WatchConfig {
         lists: watched(roles),
         script: Some((script, 10_000)),
         base: PathBuf::new(),
--- a/src/whip/mod.rs
+++ b/src/whip/mod.rs
@@ -47,7 +47,7 @@
 
 /// How this front is set up.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Setup {
+pub struct WhipConfig {
     /// The titles by name.
     pub titles: BTreeMap<String, Title>,
     /// Pages of this origin may ask; `*`: all.
@@ -143,7 +143,7 @@
 
 /// The front.
 pub struct WhipFront {
-    setup: Setup,
+    setup: WhipConfig,
     classes: Vec<Class>,
     rng: fastrand::Rng,
     conns: BTreeMap<ConnId, Conn>,
@@ -160,14 +160,14 @@
 
 impl WhipFront {
     /// A front for these classes.
-    pub fn new(setup: Setup, classes: Vec<Class>, seed: u64) -> WhipFront {
+    pub fn new(setup: WhipConfig, classes: Vec<Class>, seed: u64) -> WhipFront {
         let rng = fastrand::Rng::with_seed(seed);
         let (conns, sessions, bookings) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         WhipFront { setup, classes, rng, conns, sessions, bookings, stopping: false }
     }
 
     /// From now on new requests follow this set-up.
-    pub fn reload(&mut self, setup: Setup) {
+    pub fn reload(&mut self, setup: WhipConfig) {
         self.setup = setup;
     }
 
--- a/tests/quorum.rs
+++ b/tests/quorum.rs
@@ -13,7 +13,9 @@
 use amberspindle::quorum::journal;
 use amberspindle::quorum::machine::Event;
 use amberspindle::quorum::record::Done;
-use amberspindle::quorum::{BootTime, Duty, Incarnation, Input, Machine, Name, Out, Setup, Voter, VoterId};
+use amberspindle::quorum::{
+    BootTime, Duty, Incarnation, Input, Machine, Name, Out, QuorumConfig, Voter, VoterId,
+};
 use amberspindle::rules::standing::{Ruling, Standing, Sure};
 use amberspindle::rules::version::{Proposal, Unproposed};
 
@@ -22,9 +24,9 @@
 /// Those that keep a folder and do not vote at first.
 const SPARES: std::ops::RangeInclusive<u64> = 4..=5;
 
-fn setup(n: u64) -> Setup {
+fn setup(n: u64) -> QuorumConfig {
     let voter = |n: u64| Voter { name: Name(format!("m{n}")), address: ([127, 0, 0, 1], n as u16).into() };
-    Setup {
+    QuorumConfig {
         cluster: "c".into(),
         name: Name(format!("m{n}")),
         listen: None,
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -7,17 +7,18 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 
 use amberspindle::api::{ListKind, Micros, ServerState};
-use amberspindle::eureka::{Call, Eureka, Own, Setup};
+use amberspindle::eureka::{Call, Eureka, EurekaConfig, Registration};
 use amberspindle::roster::SettingNames;
 use serde_json::{Value, json};
 use support::*;
 
-fn setup(register: bool) -> Setup {
+fn setup(register: bool) -> EurekaConfig {
     let address = "127.0.0.1:8761".parse().unwrap();
-    let own = Own { app: "BROKER".into(), id: "n1:80".into(), address: "127.0.0.1:80".parse().unwrap() };
+    let own =
+        Registration { app: "BROKER".into(), id: "n1:80".into(), address: "127.0.0.1:80".parse().unwrap() };
     let (fetch, beat) = (Micros(5_000_000), Micros(30_000_000));
     let path = "/eureka".to_owned();
-    Setup { address, path, servers: "BOX".into(), register: register.then_some(own), fetch, beat }
+    EurekaConfig { address, path, servers: "BOX".into(), register: register.then_some(own), fetch, beat }
 }
 
 fn registry(register: bool) -> Eureka {
