--- a/benches/roster.rs
+++ b/benches/roster.rs
@@ -6,7 +6,7 @@
 use amberspindle::api::{Micros, ServerEntry, ServerId, ServerState};
 use amberspindle::records::Bounds;
 use amberspindle::roster::{
-    Candidate, Digest, Generation, ListUpdate, ListedServer, Plausible, Roster, SettingNames, Verdict,
+    Candidate, Digest, Generation, ListUpdate, ListedServer, OfferOutcome, Roster, SettingNames, ShrinkLimit,
 };
 use amberspindle::watch::judge::{self, Role, Watched};
 use amberspindle::watch::seal::{self, Comment};
@@ -45,7 +45,7 @@
 }
 
 fn roster(size: usize) -> Roster {
-    let mut roster = Roster::new(Plausible { most_dropped: 0.5, hold: Micros(0) });
+    let mut roster = Roster::new(ShrinkLimit { most_dropped: 0.5, hold: Micros(0) });
     roster.offer(Micros(0), candidate(size, 1));
     roster
 }
@@ -74,7 +74,7 @@
     let roster = roster(size);
     let next = candidate(size, 2);
     bencher.with_inputs(|| (roster.clone(), next.clone())).bench_local_values(|(mut roster, next)| {
-        let Verdict::Taken(taken) = roster.offer(Micros(1), next) else { panic!("not taken") };
+        let OfferOutcome::Taken(taken) = roster.offer(Micros(1), next) else { panic!("not taken") };
         assert_eq!(taken.news.servers.len(), 1);
         (roster, taken)
     });
@@ -106,7 +106,7 @@
     bencher.with_inputs(|| roster.clone()).bench_local_values(|mut roster| {
         let news = ListUpdate { kind: ListKind::Changes, servers: vec![listed(size / 2, 7.0)] };
         let verdict = roster.hear(Micros(1), Source::Registry, news);
-        assert!(matches!(verdict, Verdict::Taken(_)));
+        assert!(matches!(verdict, OfferOutcome::Taken(_)));
         roster
     });
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -14,7 +14,7 @@
     Bounds, EurekaRecord, Finding, Findings, HookRecord, OperatorFile, QuorumRecord, Source, TitleRecord,
     WatchRecord, WhipRecord,
 };
-use crate::roster::{ListedServer, Plausible, SettingNames};
+use crate::roster::{ListedServer, SettingNames, ShrinkLimit};
 use crate::watch;
 use crate::watch::judge::{self, Role, Watched};
 use crate::whip::{self, Title};
@@ -194,7 +194,7 @@
         notify: record.notify.unwrap_or(true),
         poll: ms(record.poll_ms, 2_000),
         most: record.most_kb.unwrap_or(16 * 1024) * 1024,
-        plausible: Plausible {
+        plausible: ShrinkLimit {
             most_dropped: record.most_dropped.unwrap_or(0.5),
             hold: ms(record.hold_ms, 60_000),
         },
--- a/src/net/files.rs
+++ b/src/net/files.rs
@@ -19,7 +19,7 @@
 use crate::config::{self, Config};
 use crate::disk::{self, Folder};
 use crate::records::Bounds;
-use crate::roster::{ListUpdate, Source, Taken, Verdict};
+use crate::roster::{GenerationChange, ListUpdate, OfferOutcome, Source};
 use crate::watch::judge::{self, Lists, Role};
 use crate::watch::seal;
 use crate::watch::state::{Kept, Store};
@@ -49,7 +49,7 @@
 }
 
 /// The log's line of a generation that is in use.
-fn log_taken(taken: &Taken) {
+fn log_taken(taken: &GenerationChange) {
     let digest = taken.digest.map(|d| d.short());
     info!(
         event = "list.taken",
@@ -64,7 +64,7 @@
 }
 
 /// Announces a generation in the log and tells the node of it.
-pub(super) fn announce(shared: &Handle, taken: Taken) {
+pub(super) fn announce(shared: &Handle, taken: GenerationChange) {
     log_taken(&taken);
     step(shared, |node, now, out| node.news(now, taken.news, out));
     shared.listed.ring();
@@ -74,11 +74,11 @@
 pub(super) fn hear(shared: &Handle, source: Source, news: ListUpdate) {
     let verdict = shared.roster.borrow_mut().hear(shared.now(), source, news);
     match verdict {
-        Verdict::Taken(taken) => announce(shared, taken),
-        Verdict::Shadowed(by) => {
+        OfferOutcome::Taken(taken) => announce(shared, taken),
+        OfferOutcome::Shadowed(by) => {
             info!(event = "list.shadowed", source = source.name(), by = by.name());
         }
-        Verdict::Same | Verdict::Held { .. } | Verdict::Older { .. } => {}
+        OfferOutcome::Same | OfferOutcome::Held { .. } | OfferOutcome::Older { .. } => {}
     }
 }
 
@@ -117,10 +117,11 @@
     /// Good lists came, perhaps the same as before.
     fn offered(&mut self, shared: &Handle, lists: Lists, asked: bool) {
         let offered = lists.servers.clone();
-        let verdict = offered.map_or(Verdict::Same, |c| shared.roster.borrow_mut().offer(shared.now(), c));
+        let verdict =
+            offered.map_or(OfferOutcome::Same, |c| shared.roster.borrow_mut().offer(shared.now(), c));
         match verdict {
-            Verdict::Taken(taken) => self.taken(shared, taken, lists),
-            Verdict::Same => {
+            OfferOutcome::Taken(taken) => self.taken(shared, taken, lists),
+            OfferOutcome::Same => {
                 self.waiting = None;
                 let news = self.lists.as_ref().is_none_or(|old| old.digest != lists.digest);
                 self.adopt(shared, lists);
@@ -135,7 +136,7 @@
                     info!(event = "list.same", generation, digest = digest.as_deref());
                 }
             }
-            Verdict::Held { until, dropped, of, news } => {
+            OfferOutcome::Held { until, dropped, of, news } => {
                 if news || asked {
                     let wait_ms = (until - shared.now()).0 / 1000;
                     let digest = lists.digest.short();
@@ -144,13 +145,13 @@
                 self.waiting = Some(lists);
                 shared.listed.ring();
             }
-            Verdict::Older { revision, than } => {
+            OfferOutcome::Older { revision, than } => {
                 self.waiting = None;
                 let file = self.name(Role::Servers);
                 let reason = format!("{revision} is older than {than}, which is in use");
                 warn!(event = "list.refused", file, field = "revision", reason = reason.as_str());
             }
-            Verdict::Shadowed(by) => {
+            OfferOutcome::Shadowed(by) => {
                 self.waiting = None;
                 if self.lists.as_ref().is_none_or(|old| old.digest != lists.digest) {
                     info!(event = "list.shadowed", source = Source::Watched.name(), by = by.name());
@@ -165,7 +166,7 @@
     }
 
     /// A generation was taken: the titles that belong to it are in use from now on too.
-    fn taken(&mut self, shared: &Handle, taken: Taken, lists: Lists) {
+    fn taken(&mut self, shared: &Handle, taken: GenerationChange, lists: Lists) {
         (self.waiting, self.restored) = (None, None);
         announce(shared, taken);
         self.adopt(shared, lists);
@@ -227,7 +228,7 @@
                         .servers
                         .clone()
                         .map(|c| shared.roster.borrow_mut().restore(now, kept.generation, c, &started));
-                    if let Some(Verdict::Taken(taken)) = verdict {
+                    if let Some(OfferOutcome::Taken(taken)) = verdict {
                         step(shared, |node, now, out| node.news(now, taken.news, out));
                     }
                     self.adopt(shared, lists);
@@ -249,7 +250,7 @@
     /// The files are what they were at the last stop.
     fn unchanged(&self, shared: &Handle, kept: &Kept) {
         let roster = shared.roster.borrow();
-        log_taken(&Taken {
+        log_taken(&GenerationChange {
             generation: kept.generation,
             source: Source::Watched,
             servers: roster.current().servers.len(),
@@ -367,7 +368,7 @@
         future::or(shared.listed.heard(), wait).await;
         let now = shared.now();
         let due = shared.roster.borrow_mut().tick(now);
-        if let (Some(Verdict::Taken(taken)), Some(files)) = (due, &files) {
+        if let (Some(OfferOutcome::Taken(taken)), Some(files)) = (due, &files) {
             let waiting = files.borrow_mut().waiting.take();
             match waiting {
                 Some(lists) => files.borrow_mut().taken(&shared, taken, lists),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -43,7 +43,7 @@
 use crate::node::Node;
 use crate::platform::links::{Command, ConnId};
 use crate::platform::timings::Timings;
-use crate::roster::{Plausible, Roster};
+use crate::roster::{Roster, ShrinkLimit};
 use budget::Budget;
 use clock::{Clock, unix};
 use conns::dial;
@@ -92,7 +92,7 @@
 impl Shared {
     fn new(config: &Config, board: Board) -> Handle {
         // Only lists from watched files are ever held back.
-        let never = Plausible { most_dropped: 1.0, hold: Micros(0) };
+        let never = ShrinkLimit { most_dropped: 1.0, hold: Micros(0) };
         let plausible = config.watch.as_ref().map_or(never, |w| w.plausible);
         let (node, budget) = (Node::new(config), Budget::new(config.sockets));
         let timings = node.timings();
--- a/src/roster/mod.rs
+++ b/src/roster/mod.rs
@@ -77,7 +77,7 @@
 
 /// When a candidate must not be taken at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Plausible {
+pub struct ShrinkLimit {
     /// A list that drops more than this part of the servers at once is held back.
     pub most_dropped: f64,
     /// For so long it must stand unchanged.
@@ -101,7 +101,7 @@
 
 /// What a generation changed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Taken {
+pub struct GenerationChange {
     /// Its number.
     pub generation: u64,
     /// Who told it.
@@ -122,9 +122,9 @@
 
 /// What became of a candidate.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum OfferOutcome {
     /// It is the list now.
-    Taken(Taken),
+    Taken(GenerationChange),
     /// It says nothing new.
     Same,
     /// It waits: it drops too much at once.
@@ -159,7 +159,7 @@
 #[derive(Clone, Debug)]
 pub struct Roster {
     current: Generation,
-    plausible: Plausible,
+    plausible: ShrinkLimit,
     held: Option<Held>,
     /// Servers that were dropped and may still have sessions, and since when.
     leaving: BTreeMap<ServerId, Micros>,
@@ -167,7 +167,7 @@
 
 impl Roster {
     /// An empty list.
-    pub fn new(plausible: Plausible) -> Roster {
+    pub fn new(plausible: ShrinkLimit) -> Roster {
         let (source, digest, revision) = (None, None, None);
         let current = Generation { number: 0, source, digest, revision, servers: OrdMap::new() };
         Roster { current, plausible, held: None, leaving: BTreeMap::new() }
@@ -199,9 +199,9 @@
     ///
     /// Lines are taken as they are; the source has left out what can't be used. An absent line of a whole list is
     /// gone, as those sources mean it.
-    pub fn hear(&mut self, now: Micros, source: Source, news: ListUpdate) -> Verdict {
+    pub fn hear(&mut self, now: Micros, source: Source, news: ListUpdate) -> OfferOutcome {
         if let Some(owner) = self.outranked(source) {
-            return Verdict::Shadowed(owner);
+            return OfferOutcome::Shadowed(owner);
         }
         let taken_over = self.current.source.is_some_and(|owner| owner < source);
         let whole = news.kind == ListKind::Complete;
@@ -231,7 +231,7 @@
     }
 
     /// Takes lines in as one generation.
-    fn apply(&mut self, now: Micros, source: Source, lines: Vec<ListedServer>, first: bool) -> Verdict {
+    fn apply(&mut self, now: Micros, source: Source, lines: Vec<ListedServer>, first: bool) -> OfferOutcome {
         let mut servers = self.current.servers.clone();
         let (mut added, mut changed, mut removed) = (0, 0, 0);
         let mut told = Vec::new();
@@ -271,7 +271,7 @@
         if told.is_empty() && !first {
             // Nothing new, but from now on this source keeps the list.
             self.current.source = owner.max(Some(source));
-            return Verdict::Same;
+            return OfferOutcome::Same;
         }
         self.current.servers = servers;
         self.current.number += 1;
@@ -280,7 +280,7 @@
             (self.current.digest, self.current.revision, self.held) = (None, None, None);
         }
         let kind = if first { ListKind::Complete } else { ListKind::Changes };
-        Verdict::Taken(Taken {
+        OfferOutcome::Taken(GenerationChange {
             generation: self.current.number,
             source,
             servers: self.current.servers.len() - self.leaving.len(),
@@ -298,21 +298,21 @@
     /// is warm is not known, and a cold one must not be pushed over. One that the list drops drains: its sessions
     /// play on, and it is gone once they are over. One that comes back at another address is a new server, and so
     /// is one at an address that another had: that other one is gone.
-    pub fn offer(&mut self, now: Micros, mut candidate: Candidate) -> Verdict {
+    pub fn offer(&mut self, now: Micros, mut candidate: Candidate) -> OfferOutcome {
         if let Some(owner) = self.outranked(Source::Watched) {
             self.held = None;
-            return Verdict::Shadowed(owner);
+            return OfferOutcome::Shadowed(owner);
         }
         let watched = self.current.source == Some(Source::Watched);
         if watched && self.current.digest == Some(candidate.digest) {
             self.held = None;
-            return Verdict::Same;
+            return OfferOutcome::Same;
         }
         if let (true, Some(revision), Some(than)) = (watched, candidate.revision, self.current.revision)
             && revision < than
         {
             self.held = None;
-            return Verdict::Older { revision, than };
+            return OfferOutcome::Older { revision, than };
         }
         // In the order of the map, both are walked side by side: no look-up for each line.
         candidate.servers.sort_by(|a, b| a.entry.id.cmp(&b.entry.id));
@@ -325,7 +325,7 @@
             let until = since + self.plausible.hold;
             if now < until {
                 self.held = Some(Held { candidate, since });
-                return Verdict::Held { until, dropped, of, news };
+                return OfferOutcome::Held { until, dropped, of, news };
             }
         }
         self.take(now, candidate)
@@ -337,7 +337,7 @@
     }
 
     /// Time has passed: takes the list that was held back, if it is due.
-    pub fn tick(&mut self, now: Micros) -> Option<Verdict> {
+    pub fn tick(&mut self, now: Micros) -> Option<OfferOutcome> {
         let due = self.held.as_ref().is_some_and(|h| now >= h.since + self.plausible.hold);
         let held = if due { self.held.take() } else { None };
         held.map(|held| self.take(now, held.candidate))
@@ -367,7 +367,7 @@
     }
 
     /// Takes a list whose lines are in order.
-    fn take(&mut self, now: Micros, candidate: Candidate) -> Verdict {
+    fn take(&mut self, now: Micros, candidate: Candidate) -> OfferOutcome {
         self.held = None;
         let first = self.current.number == 0;
         let absent: Vec<ListedServer> =
@@ -418,7 +418,7 @@
         number: u64,
         mut candidate: Candidate,
         started: &BTreeMap<String, Micros>,
-    ) -> Verdict {
+    ) -> OfferOutcome {
         for line in &mut candidate.servers {
             if line.entry.up_since.is_none() {
                 line.entry.up_since = started.get(&*line.entry.id.0).copied();
@@ -430,7 +430,7 @@
         verdict
     }
 
-    fn take_first(&mut self, now: Micros, candidate: Candidate) -> Verdict {
+    fn take_first(&mut self, now: Micros, candidate: Candidate) -> OfferOutcome {
         (self.current.digest, self.current.revision) = (Some(candidate.digest), candidate.revision);
         let lines = candidate.servers.into_iter().map(|mut line| {
             line.entry.up_since = line.entry.up_since.filter(|at| *at > Micros(0));
--- a/src/roster/tests.rs
+++ b/src/roster/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::api::ServerEntry;
 
-const PLAUSIBLE: Plausible = Plausible { most_dropped: 0.5, hold: Micros(60_000_000) };
+const PLAUSIBLE: ShrinkLimit = ShrinkLimit { most_dropped: 0.5, hold: Micros(60_000_000) };
 
 fn s(seconds: u64) -> Micros {
     Micros(1_000_000_000 + seconds * 1_000_000)
@@ -22,9 +22,9 @@
     Candidate { digest: Digest([number; 32]), revision: None, servers }
 }
 
-fn taken(verdict: Verdict) -> Taken {
+fn taken(verdict: OfferOutcome) -> GenerationChange {
     match verdict {
-        Verdict::Taken(taken) => taken,
+        OfferOutcome::Taken(taken) => taken,
         other => panic!("not taken: {other:?}"),
     }
 }
@@ -55,8 +55,8 @@
     assert_eq!((second.generation, second.added, second.changed, second.removed), (2, 0, 2, 0));
     assert_eq!(second.news.kind, ListKind::Changes);
     assert_eq!(states(&second.news), [("b", ServerState::Ready), ("c", ServerState::Draining)]);
-    assert_eq!(roster.offer(s(2), candidate(2, list.clone())), Verdict::Same);
-    assert_eq!(roster.offer(s(2), candidate(3, list)), Verdict::Same, "other words for the same list");
+    assert_eq!(roster.offer(s(2), candidate(2, list.clone())), OfferOutcome::Same);
+    assert_eq!(roster.offer(s(2), candidate(3, list)), OfferOutcome::Same, "other words for the same list");
     assert_eq!(roster.current().number, 2);
 }
 
@@ -93,7 +93,7 @@
     let mut roster = roster(vec![line("a", 1), line("b", 2), line("c", 3)]);
     roster.offer(s(1), candidate(2, vec![line("a", 1), line("c", 3)]));
     let list = vec![line("a", 1), with(line("b", 2), ServerState::Draining), line("c", 3)];
-    assert_eq!(roster.offer(s(2), candidate(3, list)), Verdict::Same, "it drains already");
+    assert_eq!(roster.offer(s(2), candidate(3, list)), OfferOutcome::Same, "it drains already");
     assert_eq!((roster.leaving(), roster.part(s(99), |_| false)), (0, None));
 }
 
@@ -137,19 +137,22 @@
     let all: Vec<ListedServer> = (1..=4).map(|n| line(&format!("s{n}"), n)).collect();
     let mut roster = roster(all.clone());
     let half = candidate(2, all[..2].to_vec());
-    assert!(matches!(roster.clone().offer(s(1), half), Verdict::Taken(_)), "half is not more than half");
+    assert!(matches!(roster.clone().offer(s(1), half), OfferOutcome::Taken(_)), "half is not more than half");
     let few = candidate(3, all[..1].to_vec());
-    let held = Verdict::Held { until: s(61), dropped: 3, of: 4, news: true };
+    let held = OfferOutcome::Held { until: s(61), dropped: 3, of: 4, news: true };
     assert_eq!(roster.offer(s(1), few.clone()), held);
-    let again = Verdict::Held { until: s(61), dropped: 3, of: 4, news: false };
+    let again = OfferOutcome::Held { until: s(61), dropped: 3, of: 4, news: false };
     assert_eq!(roster.offer(s(30), few.clone()), again, "the same content goes on standing");
     assert_eq!((roster.tick(s(60)), roster.next_due()), (None, Some(s(61))));
     // Another one starts anew.
     let other = candidate(4, all[1..2].to_vec());
-    assert_eq!(roster.offer(s(40), other), Verdict::Held { until: s(100), dropped: 3, of: 4, news: true });
+    assert_eq!(
+        roster.offer(s(40), other),
+        OfferOutcome::Held { until: s(100), dropped: 3, of: 4, news: true }
+    );
     roster.withdraw();
     assert_eq!((roster.tick(s(200)), roster.next_due()), (None, None), "what no longer stands is not taken");
-    assert!(matches!(roster.offer(s(201), few), Verdict::Held { until, .. } if until == s(261)));
+    assert!(matches!(roster.offer(s(201), few), OfferOutcome::Held { until, .. } if until == s(261)));
     let late = taken(roster.tick(s(261)).unwrap());
     assert_eq!((late.generation, late.servers, late.removed), (2, 1, 3));
 }
@@ -159,7 +162,7 @@
     let mut roster = Roster::new(PLAUSIBLE);
     let revised = |n: u8, revision| Candidate { revision, ..candidate(n, vec![line("a", u16::from(n))]) };
     taken(roster.offer(s(0), revised(1, Some(7))));
-    assert_eq!(roster.offer(s(1), revised(2, Some(6))), Verdict::Older { revision: 6, than: 7 });
+    assert_eq!(roster.offer(s(1), revised(2, Some(6))), OfferOutcome::Older { revision: 6, than: 7 });
     assert_eq!(roster.current().number, 1);
     taken(roster.offer(s(2), revised(3, Some(7))));
     taken(roster.offer(s(3), revised(4, None)));
@@ -172,7 +175,7 @@
     let watched = taken(roster.offer(s(1), candidate(1, vec![line("a", 1), line("c", 3)])));
     assert_eq!(watched.source, Source::Watched);
     let shadow = roster.hear(s(2), Source::Fixed, whole(vec![line("x", 8)]));
-    assert_eq!(shadow, Verdict::Shadowed(Source::Watched));
+    assert_eq!(shadow, OfferOutcome::Shadowed(Source::Watched));
     // The registry does not know what the files told of: that drains, it is not cut.
     let registry = taken(roster.hear(s(3), Source::Registry, whole(vec![line("c", 3), line("d", 4)])));
     let told = states(&registry.news);
@@ -180,7 +183,10 @@
         told.contains(&("a", ServerState::Draining)) && told.contains(&("d", ServerState::Ready)),
         "{told:?}"
     );
-    assert_eq!(roster.offer(s(4), candidate(2, vec![line("a", 1)])), Verdict::Shadowed(Source::Registry));
+    assert_eq!(
+        roster.offer(s(4), candidate(2, vec![line("a", 1)])),
+        OfferOutcome::Shadowed(Source::Registry)
+    );
     // Its own next list means what it leaves out to be gone.
     let next = taken(roster.hear(s(5), Source::Registry, whole(vec![line("d", 4)])));
     assert!(states(&next.news).contains(&("c", ServerState::Gone)));
@@ -194,7 +200,7 @@
     let gone = changes(vec![with(line("b", 2), ServerState::Gone), line("a", 1)]);
     let taken = taken(roster.hear(s(1), Source::Board, gone.clone()));
     assert_eq!(states(&taken.news), [("b", ServerState::Gone)]);
-    assert_eq!(roster.hear(s(2), Source::Board, gone), Verdict::Same);
+    assert_eq!(roster.hear(s(2), Source::Board, gone), OfferOutcome::Same);
 }
 
 #[test]
@@ -205,7 +211,7 @@
     let restored = taken(roster.restore(s(9), 41, candidate(1, list.clone()), &started));
     assert_eq!((restored.generation, restored.news.kind), (41, ListKind::Complete));
     assert_eq!(restored.news.servers[1].entry.up_since, Some(s(0)));
-    assert_eq!(roster.offer(s(10), candidate(1, list)), Verdict::Same);
+    assert_eq!(roster.offer(s(10), candidate(1, list)), OfferOutcome::Same);
     let next = taken(roster.offer(s(11), candidate(2, vec![line("a", 1), line("b", 2), line("c", 3)])));
     assert_eq!((next.generation, next.news.servers.len()), (42, 1));
     assert_eq!(next.news.servers[0].entry.up_since, Some(s(11)), "new since what was kept");
@@ -233,13 +239,13 @@
                 .collect();
             let news = match kind {
                 0 => match roster.offer(s(now), Candidate { digest: Digest([i as u8; 32]), revision: None, servers }) {
-                    Verdict::Taken(t) => Some(t.news),
+                    OfferOutcome::Taken(t) => Some(t.news),
                     _ => None,
                 },
-                1 => match roster.tick(s(now)) { Some(Verdict::Taken(t)) => Some(t.news), _ => None },
+                1 => match roster.tick(s(now)) { Some(OfferOutcome::Taken(t)) => Some(t.news), _ => None },
                 2 => roster.part(s(now), |id| id.0.ends_with('3')),
                 _ => match roster.hear(s(now), Source::Fixed, ListUpdate { kind: ListKind::Changes, servers }) {
-                    Verdict::Taken(t) => Some(t.news),
+                    OfferOutcome::Taken(t) => Some(t.news),
                     _ => None,
                 },
             };
--- a/src/watch/mod.rs
+++ b/src/watch/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::api::Micros;
 use crate::records::{Bounds, Finding};
-use crate::roster::{Digest, Plausible};
+use crate::roster::{Digest, ShrinkLimit};
 use judge::{Lists, Reading, Refusal, Role, Unread, Watched};
 use limiter::Limiter;
 
@@ -51,7 +51,7 @@
     /// Bytes of a file at most.
     pub most: u64,
     /// When a list is held back.
-    pub plausible: Plausible,
+    pub plausible: ShrinkLimit,
     /// The folder that keeps the last good lists.
     pub state: Option<PathBuf>,
 }
