--- a/benches/roster.rs
+++ b/benches/roster.rs
@@ -8,7 +8,7 @@
 use amberspindle::roster::{
     Candidate, Digest, Generation, ListUpdate, ListedServer, OfferOutcome, Roster, SettingNames, ShrinkLimit,
 };
-use amberspindle::watch::judge::{self, Role, Watched};
+use amberspindle::watch::judge::{self, Role, WatchedFile};
 use amberspindle::watch::seal::{self, Comment};
 use divan::{AllocProfiler, Bencher};
 
@@ -63,7 +63,7 @@
     let text: String = (0..size).map(line).collect();
     let file = seal::close_all([(text.as_bytes(), Comment::Hash)]).remove(0);
     let (name, path) = ("servers.toml".to_owned(), "servers.toml".into());
-    let files = [Watched { role: Role::Servers, name, path }];
+    let files = [WatchedFile { role: Role::Servers, name, path }];
     let readings = [Ok(file)];
     bencher.bench_local(|| judge::lists(&files, &readings, &|_| false, &bounds()).unwrap());
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -16,7 +16,7 @@
 };
 use crate::roster::{ListedServer, SettingNames, ShrinkLimit};
 use crate::watch;
-use crate::watch::judge::{self, Role, Watched};
+use crate::watch::judge::{self, Role, WatchedFile};
 use crate::whip::{self, Title};
 use crate::wire;
 
@@ -169,8 +169,8 @@
 
 /// What is watched; paths start from the folder of the operator's file.
 fn watched(record: &WatchRecord, hook: Option<&HookRecord>, base: &Path) -> Read<watch::WatchConfig> {
-    let file = |role: Role, name: &String| Watched { role, name: name.clone(), path: base.join(name) };
-    let lists: Vec<Watched> =
+    let file = |role: Role, name: &String| WatchedFile { role, name: name.clone(), path: base.join(name) };
+    let lists: Vec<WatchedFile> =
         [(Role::Servers, &record.servers), (Role::Weights, &record.weights), (Role::Titles, &record.titles)]
             .into_iter()
             .filter_map(|(role, name)| name.as_ref().map(|name| file(role, name)))
--- a/src/disk.rs
+++ b/src/disk.rs
@@ -10,7 +10,7 @@
 use rustix::io::Errno;
 
 use crate::faults;
-use crate::watch::judge::Unread;
+use crate::watch::judge::ReadError;
 use crate::watch::state::Disk;
 use crate::watch::{Read, Stamp};
 
@@ -28,23 +28,23 @@
 }
 
 /// Why a file can't be read.
-pub fn unread(error: &io::Error) -> Unread {
+pub fn unread(error: &io::Error) -> ReadError {
     if Errno::from_io_error(error) == Some(Errno::LOOP) {
-        return Unread::Circle;
+        return ReadError::Circle;
     }
     match error.kind() {
-        io::ErrorKind::NotFound | io::ErrorKind::NotADirectory => Unread::Missing,
-        io::ErrorKind::PermissionDenied => Unread::Denied,
-        io::ErrorKind::IsADirectory => Unread::Folder,
-        _ => Unread::Failed,
+        io::ErrorKind::NotFound | io::ErrorKind::NotADirectory => ReadError::Missing,
+        io::ErrorKind::PermissionDenied => ReadError::Denied,
+        io::ErrorKind::IsADirectory => ReadError::Folder,
+        _ => ReadError::Failed,
     }
 }
 
-fn plain(meta: &Metadata) -> Result<(), Unread> {
+fn plain(meta: &Metadata) -> Result<(), ReadError> {
     if meta.is_dir() {
-        Err(Unread::Folder)
+        Err(ReadError::Folder)
     } else if !meta.is_file() {
-        Err(Unread::Special)
+        Err(ReadError::Special)
     } else {
         Ok(())
     }
@@ -60,10 +60,10 @@
 /// Reads a file of at most so many bytes. What was read between two stamps that differ is no reading, nor is what
 /// the path no longer leads to once it was read.
 pub fn read(path: &Path, most: u64) -> Read {
-    let mut read = Err(Unread::Changing);
+    let mut read = Err(ReadError::Changing);
     for _ in 0..TRIES {
         read = read_once(path, most);
-        if !matches!(read, Err(Unread::Changing)) {
+        if !matches!(read, Err(ReadError::Changing)) {
             break;
         }
     }
@@ -84,18 +84,18 @@
     let before = file.metadata().map_err(failed)?;
     plain(&before)?;
     if before.size() > most {
-        return Err(Unread::TooLong(most));
+        return Err(ReadError::TooLong(most));
     }
     let mut bytes = Vec::with_capacity(before.size() as usize + 1);
     (&mut file).take(most + 1).read_to_end(&mut bytes).map_err(failed)?;
     if bytes.len() as u64 > most {
-        return Err(Unread::TooLong(most));
+        return Err(ReadError::TooLong(most));
     }
     let stamp_before = stamp(&before);
     let after = file.metadata().map_err(failed)?;
     let there = fs::metadata(path).map_err(failed)?;
     if stamp(&after) != stamp_before || stamp(&there) != stamp_before || bytes.len() as u64 != before.size() {
-        return Err(Unread::Changing);
+        return Err(ReadError::Changing);
     }
     Ok((bytes, stamp_before))
 }
@@ -289,7 +289,7 @@
         }
     }
 
-    fn why(path: &Path) -> Unread {
+    fn why(path: &Path) -> ReadError {
         read(path, 64).unwrap_err()
     }
 
@@ -299,11 +299,11 @@
         let at = |name: &str| dir.0.join(name);
         fs::write(at("good"), "0123456789").unwrap();
         assert_eq!(read(&at("good"), 10).unwrap().0, b"0123456789");
-        assert_eq!(read(&at("good"), 9).unwrap_err(), Unread::TooLong(9));
-        assert_eq!(why(&at("none")), Unread::Missing);
-        assert_eq!(why(&at("good/below")), Unread::Missing);
-        assert_eq!(why(&dir.0), Unread::Folder);
-        assert_eq!(why(Path::new("/dev/zero")), Unread::Special);
+        assert_eq!(read(&at("good"), 9).unwrap_err(), ReadError::TooLong(9));
+        assert_eq!(why(&at("none")), ReadError::Missing);
+        assert_eq!(why(&at("good/below")), ReadError::Missing);
+        assert_eq!(why(&dir.0), ReadError::Folder);
+        assert_eq!(why(Path::new("/dev/zero")), ReadError::Special);
         rustix::fs::mknodat(
             rustix::fs::CWD,
             at("fifo"),
@@ -312,11 +312,11 @@
             0,
         )
         .unwrap();
-        assert_eq!(why(&at("fifo")), Unread::Special);
+        assert_eq!(why(&at("fifo")), ReadError::Special);
         std::os::unix::fs::symlink(at("b"), at("a")).unwrap();
         std::os::unix::fs::symlink(at("a"), at("b")).unwrap();
-        assert_eq!(why(&at("a")), Unread::Circle);
-        assert_eq!(unread(&io::ErrorKind::PermissionDenied.into()), Unread::Denied);
+        assert_eq!(why(&at("a")), ReadError::Circle);
+        assert_eq!(unread(&io::ErrorKind::PermissionDenied.into()), ReadError::Denied);
     }
 
     #[test]
@@ -347,7 +347,7 @@
         rustix::fs::mknodat(rustix::fs::CWD, &path, kind, mode, 0).unwrap();
         let flags = OFlags::NONBLOCK.bits() as i32;
         let file = OpenOptions::new().read(true).custom_flags(flags).open(&path).unwrap();
-        assert_eq!(read_open(file, &path, 64).unwrap_err(), Unread::Special);
+        assert_eq!(read_open(file, &path, 64).unwrap_err(), ReadError::Special);
     }
 
     /// Two writers take turns: what was read of one file while the path came to lead to another is no reading.
@@ -359,7 +359,7 @@
         let file = File::open(&path).unwrap();
         fs::write(dir.0.join("g"), "two").unwrap();
         fs::rename(dir.0.join("g"), &path).unwrap();
-        assert_eq!(read_open(file, &path, 64).unwrap_err(), Unread::Changing);
+        assert_eq!(read_open(file, &path, 64).unwrap_err(), ReadError::Changing);
         assert_eq!(read(&path, 64).unwrap().0, b"two");
     }
 
--- a/src/net/files.rs
+++ b/src/net/files.rs
@@ -22,8 +22,8 @@
 use crate::roster::{GenerationChange, ListUpdate, OfferOutcome, Source};
 use crate::watch::judge::{self, Lists, Role};
 use crate::watch::seal;
-use crate::watch::state::{Kept, Store};
-use crate::watch::{Act, SetId, Told, Touch, Watch, WatchConfig};
+use crate::watch::state::{SavedLists, Store};
+use crate::watch::{Act, SetId, Touch, Watch, WatchConfig, WatchEvent};
 
 /// What the thread is told.
 enum Word {
@@ -32,7 +32,7 @@
     /// The operator asks for a reading.
     Asked,
     /// A generation was taken.
-    Save(Box<Kept>),
+    Save(Box<SavedLists>),
 }
 
 /// The serving side of watched files.
@@ -45,7 +45,7 @@
     /// What is in use.
     lists: Option<Lists>,
     script: Option<String>,
-    restored: Option<Kept>,
+    restored: Option<SavedLists>,
 }
 
 /// The log's line of a generation that is in use.
@@ -84,11 +84,11 @@
 
 impl Files {
     /// Takes in what the thread tells.
-    fn told(&mut self, shared: &Handle, told: Told) {
+    fn told(&mut self, shared: &Handle, told: WatchEvent) {
         match told {
-            Told::Lists(lists, asked) => self.offered(shared, lists, asked),
-            Told::SameScript(digest) => info!(event = "script.same", digest = digest.short().as_str()),
-            Told::Script(digest, text) => {
+            WatchEvent::Lists(lists, asked) => self.offered(shared, lists, asked),
+            WatchEvent::SameScript(digest) => info!(event = "script.same", digest = digest.short().as_str()),
+            WatchEvent::Script(digest, text) => {
                 let operations = self.setup.script.as_ref().map_or(0, |(_, operations)| *operations);
                 if step(shared, |node, _, _| node.replace_script(&text, operations)) {
                     info!(event = "script.taken", digest = digest.short().as_str());
@@ -96,11 +96,11 @@
                     self.save(shared);
                 }
             }
-            Told::Withdrawn => {
+            WatchEvent::Withdrawn => {
                 self.waiting = None;
                 shared.roster.borrow_mut().withdraw();
             }
-            Told::Refused { set, finding, quiet } => {
+            WatchEvent::Refused { set, finding, quiet } => {
                 let event = if set == SetId::Lists { "list.refused" } else { "script.refused" };
                 warn!(
                     event,
@@ -200,7 +200,7 @@
         if let Some(script) = &self.script {
             texts.insert(Role::Script.name().to_owned(), script.clone());
         }
-        let kept = Kept {
+        let kept = SavedLists {
             generation: if watched { current.number } else { 0 },
             taken: shared.now().0,
             texts,
@@ -211,7 +211,7 @@
     }
 
     /// Starts from lists that were kept.
-    fn restore(&mut self, shared: &Handle, kept: Kept) {
+    fn restore(&mut self, shared: &Handle, kept: SavedLists) {
         let file = |role: Role, text: &str| (role, text.to_owned());
         let texts: Vec<_> = self
             .setup
@@ -248,7 +248,7 @@
     }
 
     /// The files are what they were at the last stop.
-    fn unchanged(&self, shared: &Handle, kept: &Kept) {
+    fn unchanged(&self, shared: &Handle, kept: &SavedLists) {
         let roster = shared.roster.borrow();
         log_taken(&GenerationChange {
             generation: kept.generation,
@@ -403,7 +403,7 @@
 }
 
 /// Does what is due.
-fn work(watch: &mut Watch, clock: &Clock, told: &mut Vec<Told>) {
+fn work(watch: &mut Watch, clock: &Clock, told: &mut Vec<WatchEvent>) {
     while let Some(act) = watch.due(clock.read(unix()), told) {
         match act {
             Act::Look(set) => {
@@ -426,7 +426,7 @@
     mut eyes: Eyes,
     from: &mpsc::Receiver<Word>,
     mut state: Option<(Store, Folder)>,
-    tell: &async_channel::Sender<Told>,
+    tell: &async_channel::Sender<WatchEvent>,
 ) {
     loop {
         let wait = micros(watch.next_due() - clock.read(unix()));
--- a/src/watch/judge.rs
+++ b/src/watch/judge.rs
@@ -39,7 +39,7 @@
 
 /// A file that is watched.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Watched {
+pub struct WatchedFile {
     /// What it holds.
     pub role: Role,
     /// As the operator named it.
@@ -48,7 +48,7 @@
     pub path: PathBuf,
 }
 
-impl Watched {
+impl WatchedFile {
     /// How comments begin in it.
     pub fn comment(&self) -> Comment {
         if self.role == Role::Script { Comment::Slashes } else { Comment::Hash }
@@ -57,7 +57,7 @@
 
 /// What can't be read, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
+pub enum ReadError {
     /// It is not there.
     Missing,
     /// A folder stands in its place.
@@ -76,25 +76,25 @@
     Failed,
 }
 
-impl fmt::Display for Unread {
+impl fmt::Display for ReadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unread::Missing => f.write_str("not there"),
-            Unread::Folder => f.write_str("a folder, not a file"),
-            Unread::Special => f.write_str("no plain file: a FIFO, a socket or a device"),
-            Unread::TooLong(most) => write!(f, "longer than {} KiB (watch.most_kb)", most / 1024),
-            Unread::Denied => f.write_str("no right to read it"),
-            Unread::Circle => f.write_str("its links go in a circle"),
-            Unread::Changing => f.write_str("changed while it was read"),
-            Unread::Failed => f.write_str("can't be read"),
+            ReadError::Missing => f.write_str("not there"),
+            ReadError::Folder => f.write_str("a folder, not a file"),
+            ReadError::Special => f.write_str("no plain file: a FIFO, a socket or a device"),
+            ReadError::TooLong(most) => write!(f, "longer than {} KiB (watch.most_kb)", most / 1024),
+            ReadError::Denied => f.write_str("no right to read it"),
+            ReadError::Circle => f.write_str("its links go in a circle"),
+            ReadError::Changing => f.write_str("changed while it was read"),
+            ReadError::Failed => f.write_str("can't be read"),
         }
     }
 }
 
-impl std::error::Error for Unread {}
+impl std::error::Error for ReadError {}
 
 /// What became of reading a file.
-pub type Reading = Result<Vec<u8>, Unread>;
+pub type Reading = Result<Vec<u8>, ReadError>;
 
 /// Lists that belong together and were found good.
 #[derive(Clone, Debug, PartialEq)]
@@ -138,17 +138,22 @@
 }
 
 /// How to mend a file that is not sealed.
-fn advice(files: &[Watched]) -> String {
+fn advice(files: &[WatchedFile]) -> String {
     let names: Vec<String> = files.iter().map(|f| f.name.clone()).collect();
     format!("once it is whole: amberspindle seal {}", names.join(" "))
 }
 
-fn text(file: &Watched, files: &[Watched], reading: &Reading, renamed: bool) -> Result<Text, Refusal> {
+fn text(
+    file: &WatchedFile,
+    files: &[WatchedFile],
+    reading: &Reading,
+    renamed: bool,
+) -> Result<Text, Refusal> {
     let bytes = match reading {
         Ok(bytes) => bytes,
         Err(unread) => {
             let finding = Finding::whole(&file.name, unread);
-            let unfinished = matches!(unread, Unread::Changing | Unread::Missing);
+            let unfinished = matches!(unread, ReadError::Changing | ReadError::Missing);
             return Err(Refusal { findings: vec![finding], unfinished });
         }
     };
@@ -178,7 +183,7 @@
 /// All texts of one set. `renamed` tells of a file whether a rename is known to have brought it, which stands in
 /// for a seal where the operator allows that.
 fn texts(
-    files: &[Watched],
+    files: &[WatchedFile],
     readings: &[Reading],
     renamed: &dyn Fn(Role) -> bool,
 ) -> Result<Vec<Text>, Refusal> {
@@ -212,7 +217,7 @@
 
 /// Judges the lists.
 pub fn lists(
-    files: &[Watched],
+    files: &[WatchedFile],
     readings: &[Reading],
     renamed: &dyn Fn(Role) -> bool,
     bounds: &Bounds,
@@ -223,7 +228,7 @@
 }
 
 /// Checks whole texts in every field.
-pub fn good(files: &[Watched], texts: Vec<(Role, String)>, bounds: &Bounds) -> Result<Lists, Findings> {
+pub fn good(files: &[WatchedFile], texts: Vec<(Role, String)>, bounds: &Bounds) -> Result<Lists, Findings> {
     let source = |role: Role| -> Option<Source<'_>> {
         let (_, text) = texts.iter().find(|(r, _)| *r == role)?;
         let name = files.iter().find(|f| f.role == role).map_or(role.name(), |f| f.name.as_str());
@@ -255,7 +260,7 @@
 
 /// Judges the script.
 pub fn script(
-    file: &Watched,
+    file: &WatchedFile,
     reading: &Reading,
     renamed: bool,
     operations: u64,
--- a/src/watch/mod.rs
+++ b/src/watch/mod.rs
@@ -18,7 +18,7 @@
 use crate::api::Micros;
 use crate::records::{Bounds, Finding};
 use crate::roster::{Digest, ShrinkLimit};
-use judge::{Lists, Reading, Refusal, Role, Unread, Watched};
+use judge::{Lists, ReadError, Reading, Refusal, Role, WatchedFile};
 use limiter::Limiter;
 
 /// A set is read so long after it was touched: most writers have done the next step by then.
@@ -37,9 +37,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct WatchConfig {
     /// The lists.
-    pub lists: Vec<Watched>,
+    pub lists: Vec<WatchedFile>,
     /// The script, and the operations that a call of it may do.
-    pub script: Option<(Watched, u64)>,
+    pub script: Option<(WatchedFile, u64)>,
     /// The folder of the operator's file, that paths start from.
     pub base: PathBuf,
     /// Files without a seal are taken if a rename brought them.
@@ -97,11 +97,11 @@
 }
 
 /// What was read of a file, and its stamp.
-pub type Read = Result<(Vec<u8>, Stamp), Unread>;
+pub type Read = Result<(Vec<u8>, Stamp), ReadError>;
 
 /// What comes of a reading.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum WatchEvent {
     /// Lists that were found good, whether or not they are new; whether the operator has asked for this word.
     Lists(Lists, bool),
     /// A script that was found good, and is new.
@@ -124,7 +124,7 @@
 #[derive(Debug)]
 struct Set {
     id: SetId,
-    files: Vec<Watched>,
+    files: Vec<WatchedFile>,
     /// A reading is due then, and the one after it no sooner than that.
     read_at: Option<Micros>,
     not_before: Micros,
@@ -199,7 +199,7 @@
     }
 
     /// The files of a set.
-    pub fn files(&self, set: SetId) -> &[Watched] {
+    pub fn files(&self, set: SetId) -> &[WatchedFile] {
         self.sets.iter().find(|s| s.id == set).map_or(&[], |s| &s.files)
     }
 
@@ -241,7 +241,7 @@
     }
 
     /// What is due now; what it led to is told by [`Watch::looked`] or [`Watch::read`].
-    pub fn due(&mut self, now: Micros, told: &mut Vec<Told>) -> Option<Act> {
+    pub fn due(&mut self, now: Micros, told: &mut Vec<WatchEvent>) -> Option<Act> {
         for i in 0..self.sets.len() {
             let set = &mut self.sets[i];
             if let Some((since, findings)) = set.unfinished.clone()
@@ -291,7 +291,14 @@
     }
 
     /// A set was read: what became of each file, in their order, and when the reading began.
-    pub fn read(&mut self, began: Micros, now: Micros, id: SetId, reads: Vec<Read>, told: &mut Vec<Told>) {
+    pub fn read(
+        &mut self,
+        began: Micros,
+        now: Micros,
+        id: SetId,
+        reads: Vec<Read>,
+        told: &mut Vec<WatchEvent>,
+    ) {
         let Some(i) = self.index(id) else { return };
         let set = &mut self.sets[i];
         set.not_before = now + APART.max(Micros((now - began).0.saturating_mul(REST)));
@@ -299,7 +306,7 @@
         set.seen = reads.iter().map(|r| r.as_ref().ok().map(|(_, stamp)| *stamp)).collect();
         let newest = set.seen.iter().flatten().map(|s| s.changed).max().unwrap_or(0);
         set.close = newest + i128::from(TICK.0) * 1000 > i128::from(began.0) * 1000;
-        if reads.iter().any(|r| matches!(r, Err(Unread::Changing))) {
+        if reads.iter().any(|r| matches!(r, Err(ReadError::Changing))) {
             set.read_at = Some(set.not_before);
         }
         let readings: Vec<Reading> = reads.into_iter().map(|r| r.map(|(bytes, _)| bytes)).collect();
@@ -311,7 +318,7 @@
         self.judge(now, i, &readings, told);
     }
 
-    fn judge(&mut self, now: Micros, i: usize, readings: &[Reading], told: &mut Vec<Told>) {
+    fn judge(&mut self, now: Micros, i: usize, readings: &[Reading], told: &mut Vec<WatchEvent>) {
         let asked = std::mem::take(&mut self.sets[i].asked);
         let (set, unsealed) = (&self.sets[i], self.setup.unsealed);
         let renamed = |role: Role| {
@@ -327,7 +334,7 @@
                     Err(refusal) => judge(unsealed).ok().filter(|(d, _)| kept(*d)).ok_or(refusal),
                     good => good,
                 };
-                judged.map(|(digest, text)| (digest, Told::Script(digest, text)))
+                judged.map(|(digest, text)| (digest, WatchEvent::Script(digest, text)))
             }
             _ => {
                 let judge = |renamed: &dyn Fn(Role) -> bool| {
@@ -337,7 +344,7 @@
                     Err(refusal) => judge(&|_| unsealed).ok().filter(|l| kept(l.digest)).ok_or(refusal),
                     good => good,
                 };
-                judged.map(|lists| (lists.digest, Told::Lists(lists, asked)))
+                judged.map(|lists| (lists.digest, WatchEvent::Lists(lists, asked)))
             }
         };
         match judged {
@@ -346,22 +353,25 @@
                 (set.unfinished, set.refused) = (None, Vec::new());
                 let before = set.digest.replace(digest);
                 // Lists are told each time: one that is held back must be seen to stand.
-                if matches!(good, Told::Lists(..)) || before != Some(digest) {
+                if matches!(good, WatchEvent::Lists(..)) || before != Some(digest) {
                     told.push(good);
                 } else if asked {
-                    told.push(Told::SameScript(digest));
+                    told.push(WatchEvent::SameScript(digest));
                 }
             }
             Err(Refusal { findings, unfinished }) => {
                 let set = &mut self.sets[i];
                 if set.id == SetId::Lists {
-                    told.push(Told::Withdrawn);
+                    told.push(WatchEvent::Withdrawn);
                 }
                 set.digest = None;
                 if asked {
                     set.unfinished = None;
-                    let told_now =
-                        |finding: &Finding| Told::Refused { set: set.id, finding: finding.clone(), quiet: 0 };
+                    let told_now = |finding: &Finding| WatchEvent::Refused {
+                        set: set.id,
+                        finding: finding.clone(),
+                        quiet: 0,
+                    };
                     told.extend(findings.iter().map(told_now));
                     set.refused = findings;
                 } else if unfinished {
@@ -378,7 +388,7 @@
     }
 
     /// Tells of what is refused, each cause once while it stays the same and once a second at most.
-    fn refuse(&mut self, now: Micros, i: usize, findings: Vec<Finding>, told: &mut Vec<Told>) {
+    fn refuse(&mut self, now: Micros, i: usize, findings: Vec<Finding>, told: &mut Vec<WatchEvent>) {
         for finding in &findings {
             if self.sets[i].refused.contains(finding) {
                 continue;
@@ -386,7 +396,7 @@
             // Lines and figures may differ each time a file flaps: the cause is the file and the field.
             let cause = (finding.file.clone(), finding.field.clone());
             if let Some(quiet) = self.limiter.pass(now, cause) {
-                told.push(Told::Refused { set: self.sets[i].id, finding: finding.clone(), quiet });
+                told.push(WatchEvent::Refused { set: self.sets[i].id, finding: finding.clone(), quiet });
             }
         }
         self.sets[i].refused = findings;
--- a/src/watch/state.rs
+++ b/src/watch/state.rs
@@ -37,7 +37,7 @@
 /// What is kept of lists that were taken.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Kept {
+pub struct SavedLists {
     /// The generation's number.
     pub generation: u64,
     /// When it was taken, in microseconds of Unix time.
@@ -48,7 +48,7 @@
     pub started: BTreeMap<String, u64>,
 }
 
-impl Kept {
+impl SavedLists {
     /// When it was taken.
     pub fn taken(&self) -> Micros {
         Micros(self.taken)
@@ -95,7 +95,7 @@
 }
 
 /// A record's bytes.
-pub fn encode(kept: &Kept) -> Vec<u8> {
+pub fn encode(kept: &SavedLists) -> Vec<u8> {
     // Plain maps of text and numbers always have a form in JSON.
     let body = serde_json::to_vec(kept).unwrap_or_default();
     let sum = blake3::hash(&body).to_hex();
@@ -105,7 +105,7 @@
 }
 
 /// Reads a record.
-pub fn decode(bytes: &[u8]) -> Result<Kept, StateError> {
+pub fn decode(bytes: &[u8]) -> Result<SavedLists, StateError> {
     let end = bytes.iter().position(|b| *b == b'\n').ok_or(StateError::Foreign)?;
     let head = std::str::from_utf8(&bytes[..end]).map_err(|_| StateError::Foreign)?;
     let mut parts = head.split(' ');
@@ -155,7 +155,7 @@
     }
 
     /// Writes a record: a new file, synced, renamed over the old one, the folder synced.
-    pub fn save(&self, disk: &mut impl Disk, kept: &Kept) -> Result<(), StateError> {
+    pub fn save(&self, disk: &mut impl Disk, kept: &SavedLists) -> Result<(), StateError> {
         let new = self.new_file();
         disk.write(&new, &encode(kept))?;
         disk.sync(&new)?;
@@ -166,7 +166,7 @@
 
     /// Reads the record, if there is one. A damaged one is set aside and never used; so is what a crash left of
     /// one that was not finished.
-    pub fn load(&self, disk: &mut impl Disk) -> Result<Option<Kept>, StateError> {
+    pub fn load(&self, disk: &mut impl Disk) -> Result<Option<SavedLists>, StateError> {
         let Some(bytes) = disk.read(&self.file())? else { return Ok(None) };
         match decode(&bytes) {
             Ok(kept) => Ok(Some(kept)),
--- a/src/watch/state/tests.rs
+++ b/src/watch/state/tests.rs
@@ -85,9 +85,9 @@
     }
 }
 
-fn kept(generation: u64) -> Kept {
+fn kept(generation: u64) -> SavedLists {
     let texts = BTreeMap::from([("servers".to_owned(), format!("# {generation}\n").repeat(20))]);
-    Kept { generation, taken: 1000 * generation, texts, started: BTreeMap::from([("a".to_owned(), 5)]) }
+    SavedLists { generation, taken: 1000 * generation, texts, started: BTreeMap::from([("a".to_owned(), 5)]) }
 }
 
 #[test]
--- a/src/watch/tests.rs
+++ b/src/watch/tests.rs
@@ -25,10 +25,10 @@
     }
 }
 
-fn watched(roles: &[Role]) -> Vec<Watched> {
+fn watched(roles: &[Role]) -> Vec<WatchedFile> {
     let file = |role: &Role| {
         let name = if *role == Role::Script { "hook.rhai".into() } else { format!("{}.toml", role.name()) };
-        Watched { role: *role, path: PathBuf::from(&name), name }
+        WatchedFile { role: *role, path: PathBuf::from(&name), name }
     };
     roles.iter().map(file).collect()
 }
@@ -56,7 +56,7 @@
     seal::close_all(texts.iter().map(|t| (t.as_bytes(), Comment::Hash)))
 }
 
-fn judge_all(files: &[Watched], readings: Vec<Reading>) -> Result<Lists, Refusal> {
+fn judge_all(files: &[WatchedFile], readings: Vec<Reading>) -> Result<Lists, Refusal> {
     judge::lists(files, &readings, &|_| false, &bounds())
 }
 
@@ -227,12 +227,12 @@
     }
     let files = watched(&[Role::Servers]);
     let unread = [
-        (Err(Unread::Missing), "not there"),
-        (Err(Unread::Folder), "a folder, not a file"),
-        (Err(Unread::Special), "no plain file"),
-        (Err(Unread::Denied), "no right to read it"),
-        (Err(Unread::Circle), "its links go in a circle"),
-        (Err(Unread::TooLong(2048)), "longer than 2 KiB (watch.most_kb)"),
+        (Err(ReadError::Missing), "not there"),
+        (Err(ReadError::Folder), "a folder, not a file"),
+        (Err(ReadError::Special), "no plain file"),
+        (Err(ReadError::Denied), "no right to read it"),
+        (Err(ReadError::Circle), "its links go in a circle"),
+        (Err(ReadError::TooLong(2048)), "longer than 2 KiB (watch.most_kb)"),
         (Ok(b"# \xff\n".to_vec()), "not UTF-8"),
         (
             Ok(a.clone().into_bytes()),
@@ -264,7 +264,7 @@
     writes: u64,
     reads: usize,
     looks: usize,
-    told: Vec<Told>,
+    told: Vec<WatchEvent>,
 }
 
 impl World {
@@ -299,7 +299,7 @@
             SetId::Script => vec![Ok((self.script.0.clone(), self.stamp(9, &self.script)))],
             SetId::Lists => {
                 let one = |(i, f): (usize, &Option<(Vec<u8>, u64)>)| match f {
-                    None => Err(Unread::Missing),
+                    None => Err(ReadError::Missing),
                     Some(file) => Ok((file.0.clone(), self.stamp(i, file))),
                 };
                 self.files.iter().enumerate().map(one).collect()
@@ -308,7 +308,7 @@
     }
 
     /// Lets time pass up to a moment; gives what was told.
-    fn until(&mut self, at: Micros) -> Vec<Told> {
+    fn until(&mut self, at: Micros) -> Vec<WatchEvent> {
         let mut told = Vec::new();
         loop {
             while let Some(act) = self.watch.due(self.now, &mut told) {
@@ -342,17 +342,17 @@
     }
 }
 
-fn lists(told: &[Told]) -> Vec<usize> {
-    let count = |t: &Told| match t {
-        Told::Lists(lists, _) => Some(lists.servers.as_ref().map_or(0, |s| s.servers.len())),
+fn lists(told: &[WatchEvent]) -> Vec<usize> {
+    let count = |t: &WatchEvent| match t {
+        WatchEvent::Lists(lists, _) => Some(lists.servers.as_ref().map_or(0, |s| s.servers.len())),
         _ => None,
     };
     told.iter().filter_map(count).collect()
 }
 
-fn refused(told: &[Told]) -> Vec<String> {
-    let text = |t: &Told| match t {
-        Told::Refused { finding, .. } => Some(finding.to_string()),
+fn refused(told: &[WatchEvent]) -> Vec<String> {
+    let text = |t: &WatchEvent| match t {
+        WatchEvent::Refused { finding, .. } => Some(finding.to_string()),
         _ => None,
     };
     told.iter().filter_map(text).collect()
@@ -364,7 +364,7 @@
     world.put(0, &sealed(&[&server("a", 1, 0)])[0]);
     let first = world.until(T);
     assert_eq!(lists(&first), [1]);
-    assert!(first.iter().any(|t| matches!(t, Told::Script(..))));
+    assert!(first.iter().any(|t| matches!(t, WatchEvent::Script(..))));
     world.until(ms(500));
     world.put(0, &sealed(&[&[server("a", 1, 0), server("b", 2, 1)].concat()])[0]);
     for _ in 0..50 {
@@ -428,7 +428,7 @@
     let mut told = Vec::new();
     while let Some(act) = watch.due(T, &mut told) {
         if let Act::Read(set) = act {
-            watch.read(T, ms(700), set, vec![Err(Unread::Missing)], &mut told);
+            watch.read(T, ms(700), set, vec![Err(ReadError::Missing)], &mut told);
         }
     }
     watch.touched(ms(800), Some(Role::Servers), Touch::Other);
@@ -444,7 +444,7 @@
     world.put(0, &good[..40]);
     world.touch(Role::Servers, Touch::Other);
     let told = world.until(ms(1400));
-    assert!(told.contains(&Told::Withdrawn) && refused(&told).is_empty(), "{told:?}");
+    assert!(told.contains(&WatchEvent::Withdrawn) && refused(&told).is_empty(), "{told:?}");
     // It goes on in time: nothing was said.
     world.put(0, &good);
     world.touch(Role::Servers, Touch::Other);
@@ -523,18 +523,18 @@
 #[test]
 fn a_script_is_told_when_it_is_new_and_good() {
     let mut world = World::new(&[], false);
-    let scripts = |told: &[Told]| told.iter().filter(|t| matches!(t, Told::Script(..))).count();
+    let scripts = |told: &[WatchEvent]| told.iter().filter(|t| matches!(t, WatchEvent::Script(..))).count();
     assert_eq!(scripts(&world.until(ms(10))), 1);
     world.watch.asked(world.now);
     let told = world.until(ms(1000));
     assert_eq!(scripts(&told), 0, "the same again is nothing");
-    assert!(told.iter().any(|t| matches!(t, Told::SameScript(_))), "but who asks is told");
+    assert!(told.iter().any(|t| matches!(t, WatchEvent::SameScript(_))), "but who asks is told");
     let bad = seal::close_all([(b"fn on_request(".as_slice(), Comment::Slashes)]).remove(0);
     world.script = (bad, 1);
     world.touch(Role::Script, Touch::Other);
     let told = world.until(ms(2000));
     assert!(refused(&told)[0].starts_with("hook.rhai: can't be read"), "{told:?}");
-    assert!(!told.contains(&Told::Withdrawn), "the lists have nothing to do with it");
+    assert!(!told.contains(&WatchEvent::Withdrawn), "the lists have nothing to do with it");
 }
 
 #[test]
@@ -559,7 +559,7 @@
             let bytes = match path.to_str().unwrap() {
                 "servers.toml" => set.remove(0),
                 "titles.toml" => set.remove(1),
-                _ => return Err(Unread::Missing),
+                _ => return Err(ReadError::Missing),
             };
             let stamp = Stamp { file: (0, 0), size: 0, written: 0, changed: 0 };
             Ok((bytes, stamp))
