--- a/src/hook.rs
+++ b/src/hook.rs
@@ -10,7 +10,7 @@
 
 /// What a script says to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// It may go on, up to this rung.
     Pass(Rung),
     /// It is refused; its client is to stay away so long.
@@ -78,9 +78,14 @@
     }
 
     /// Asks the script about a request. On an error the request goes on as if there were no script.
-    pub fn on_request(&mut self, request: &Request, class: &str, tenant: &str) -> Result<Verdict, HookError> {
+    pub fn on_request(
+        &mut self,
+        request: &Request,
+        class: &str,
+        tenant: &str,
+    ) -> Result<Decision, HookError> {
         if !self.on_request {
-            return Ok(Verdict::Pass(request.top));
+            return Ok(Decision::Pass(request.top));
         }
         let top = i64::try_from(request.top.0).unwrap_or(i64::MAX);
         let fields: [(&str, Dynamic); 6] = [
@@ -93,24 +98,24 @@
         ];
         let said = self.call("on_request", fields.into_iter().map(|(k, v)| (k.into(), v)).collect())?;
         if said.is_unit() {
-            return Ok(Verdict::Pass(request.top));
+            return Ok(Decision::Pass(request.top));
         }
         let Some(map) = said.try_cast::<Map>() else { return self.misspoke("neither nothing nor a map") };
         if map.get("refuse").and_then(|r| r.as_bool().ok()) == Some(true) {
             let wait = map.get("wait_ms").and_then(|w| w.as_int().ok()).unwrap_or(0).max(0);
-            return Ok(Verdict::Refuse(Micros(wait.unsigned_abs().saturating_mul(1000))));
+            return Ok(Decision::Refuse(Micros(wait.unsigned_abs().saturating_mul(1000))));
         }
         match map.get("top") {
-            None => Ok(Verdict::Pass(request.top)),
+            None => Ok(Decision::Pass(request.top)),
             Some(top) => match top.as_int().ok().and_then(|t| usize::try_from(t).ok()) {
                 // It may be lowered only.
-                Some(top) => Ok(Verdict::Pass(request.top.min(Rung(top)))),
+                Some(top) => Ok(Decision::Pass(request.top.min(Rung(top)))),
                 None => self.misspoke("a top that is no rung"),
             },
         }
     }
 
-    fn misspoke(&mut self, what: &str) -> Result<Verdict, HookError> {
+    fn misspoke(&mut self, what: &str) -> Result<Decision, HookError> {
         (self.on_request, self.on_outcome) = (false, false);
         Err(HookError(format!("on_request gave {what}")))
     }
@@ -131,18 +136,18 @@
     use super::*;
     use crate::api::Text;
 
-    fn ask(text: &str) -> Result<Verdict, HookError> {
+    fn ask(text: &str) -> Result<Decision, HookError> {
         let request = Request::new(SessionId(1), Text::from("sofa"), Micros(0), 3, 4);
         Hook::new(text, 10_000)?.on_request(&request, "clip", "home")
     }
 
     #[test]
     fn a_script_may_refuse_or_lower_the_top_and_no_more() {
-        assert_eq!(ask("fn on_request(r) { }"), Ok(Verdict::Pass(Rung(4))));
-        assert_eq!(ask("fn on_request(r) { #{top: 2} }"), Ok(Verdict::Pass(Rung(2))));
-        assert_eq!(ask("fn on_request(r) { #{top: 9} }"), Ok(Verdict::Pass(Rung(4))));
+        assert_eq!(ask("fn on_request(r) { }"), Ok(Decision::Pass(Rung(4))));
+        assert_eq!(ask("fn on_request(r) { #{top: 2} }"), Ok(Decision::Pass(Rung(2))));
+        assert_eq!(ask("fn on_request(r) { #{top: 9} }"), Ok(Decision::Pass(Rung(4))));
         let refuse = "fn on_request(r) { if r.title == \"sofa\" { #{refuse: true, wait_ms: 250} } }";
-        assert_eq!(ask(refuse), Ok(Verdict::Refuse(Micros(250_000))));
+        assert_eq!(ask(refuse), Ok(Decision::Refuse(Micros(250_000))));
     }
 
     #[test]
@@ -158,7 +163,7 @@
             let Ok(mut hook) = Hook::new(text, 10_000) else { continue };
             assert!(hook.on_request(&request, "", "").is_err(), "{text}");
             assert!(!hook.active());
-            assert_eq!(hook.on_request(&request, "", ""), Ok(Verdict::Pass(Rung(4))));
+            assert_eq!(hook.on_request(&request, "", ""), Ok(Decision::Pass(Rung(4))));
         }
     }
 
--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -4,7 +4,7 @@
 use super::{Node, named};
 use crate::api::*;
 use crate::broker::{Description, Effect, Input};
-use crate::hook::{HookError, Verdict};
+use crate::hook::{Decision, HookError};
 use crate::operate::figures::Outcome;
 use crate::platform::links::Command;
 use crate::platform::viewer;
@@ -36,10 +36,10 @@
                 (named(&self.names.classes, request.class), named(&self.names.tenants, request.tenant));
             let verdict = hook.on_request(&request, class, tenant);
             match self.unhook(verdict) {
-                Some(Verdict::Refuse(wait)) => {
+                Some(Decision::Refuse(wait)) => {
                     return self.carry_out(now, Effect::Refused(request.id, wait), out);
                 }
-                Some(Verdict::Pass(top)) => request.top = top,
+                Some(Decision::Pass(top)) => request.top = top,
                 None => {}
             }
         }
