--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -21,7 +21,7 @@
 use crate::config::Config;
 use crate::edge::Pool;
 use crate::hook::Hook;
-use crate::operate::{figures::Figures, handover::Message, phase::Phase};
+use crate::operate::{figures::Metrics, handover::Message, phase::Phase};
 use crate::platform::links::{Command, ConnId, Links};
 use crate::platform::timings::Timings;
 use crate::quorum::frame::Counts;
@@ -80,7 +80,7 @@
     /// Whether it serves, drains or ends, and when clients' connections are looked at for that.
     phase: Phase,
     let_go_at: Micros,
-    figures: Figures,
+    figures: Metrics,
     /// Sessions that were passed to another process, and their servers; and what it is to hear.
     passed: BTreeMap<SessionId, ServerId>,
     messages: Vec<Message>,
@@ -130,7 +130,7 @@
             look_at: Micros(0),
             phase: Phase::default(),
             let_go_at: Micros::MAX,
-            figures: Figures::default(),
+            figures: Metrics::default(),
             passed: BTreeMap::new(),
             messages: Vec::new(),
             renamed_at: Micros(0),
--- a/src/node/operate.rs
+++ b/src/node/operate.rs
@@ -20,7 +20,7 @@
                 None => Answer::Success("ready"),
                 Some(why) => Answer::Failure(why.word().to_owned()),
             },
-            Ok(Call::Vars) => Answer::Figures(self.read_figures(now)),
+            Ok(Call::Vars) => Answer::Metrics(self.read_figures(now)),
             Ok(Call::DrainOn) => {
                 let new = self.phase.drain(now);
                 self.let_go_at = self.phase.lets_go_from().unwrap_or(Micros::MAX);
--- a/src/operate/console.rs
+++ b/src/operate/console.rs
@@ -60,7 +60,7 @@
     /// It was not done, or the answer is no.
     Failure(String),
     /// Lines of figures.
-    Figures(String),
+    Metrics(String),
 }
 
 impl Answer {
@@ -69,7 +69,7 @@
         match self {
             Answer::Success(word) => format!("SUCCESS {word}\n"),
             Answer::Failure(why) => format!("FAILURE {why}\n"),
-            Answer::Figures(lines) => format!("SUCCESS\n{lines}EOT\n"),
+            Answer::Metrics(lines) => format!("SUCCESS\n{lines}EOT\n"),
         }
     }
 }
@@ -186,6 +186,6 @@
     fn answers_begin_with_their_word_and_figures_end_with_eot() {
         assert_eq!(Answer::Success("ready").encode(), "SUCCESS ready\n");
         assert_eq!(Answer::Failure("draining".into()).encode(), "FAILURE draining\n");
-        assert_eq!(Answer::Figures("a=1\n".into()).encode(), "SUCCESS\na=1\nEOT\n");
+        assert_eq!(Answer::Metrics("a=1\n".into()).encode(), "SUCCESS\na=1\nEOT\n");
     }
 }
--- a/src/operate/figures.rs
+++ b/src/operate/figures.rs
@@ -54,7 +54,7 @@
 
 /// All counts.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     /// By name: a class that goes and comes back goes on counting.
     classes: BTreeMap<String, Counts>,
     /// The class under which each unanswered request was taken.
@@ -66,7 +66,7 @@
     invalid: u64,
 }
 
-impl Figures {
+impl Metrics {
     /// Counts from 0 for these classes too, so that a class is told of before its first request.
     pub fn classes<'a>(&mut self, names: impl IntoIterator<Item = &'a String>) {
         for name in names {
@@ -149,7 +149,7 @@
 
     #[test]
     fn each_request_counts_once_under_the_class_that_it_was_taken_under() {
-        let mut figures = Figures::default();
+        let mut figures = Metrics::default();
         figures.classes(&["clip".to_owned(), "paid".to_owned()]);
         for n in 0..4 {
             figures.asked(SessionId(n), if n < 3 { "paid" } else { "gone" });
