--- a/src/quorum/frame.rs
+++ b/src/quorum/frame.rs
@@ -34,7 +34,7 @@
 
 /// A member's regular word: it is there, what it wants, what it gives back. It renews all leases of the process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Who says it.
     pub process: Process,
     /// Its number; an answer repeats it.
@@ -61,7 +61,7 @@
 
 /// The answer to a beat, by a leader that a majority has followed since the beat came in.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct HeartbeatReply {
     /// Whose beat.
     pub process: Process,
     /// Which beat.
@@ -148,9 +148,9 @@
     /// It is.
     Confirmed(Confirm),
     /// A beat, and whether a voter has passed it on.
-    Beat(Beat, bool),
+    Heartbeat(Heartbeat, bool),
     /// Its answer.
-    Told(Told),
+    HeartbeatReply(HeartbeatReply),
     /// A process has something to hear: its next beat is wanted at once.
     Nudge(Process),
     /// How far a voter's journals of the others reach, as it knows.
@@ -281,8 +281,8 @@
         Frame::Paxos(..)
             | Frame::Confirm(_)
             | Frame::Confirmed(_)
-            | Frame::Beat(..)
-            | Frame::Told(_)
+            | Frame::Heartbeat(..)
+            | Frame::HeartbeatReply(_)
             | Frame::Nudge(_)
             | Frame::Written(_)
             | Frame::Council(_)
--- a/src/quorum/holder.rs
+++ b/src/quorum/holder.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::frame::Told;
+use super::frame::HeartbeatReply;
 use super::{BootTime, Duty, Epoch, QuorumConfig};
 use crate::mutant::{self, Mutant};
 
@@ -72,7 +72,7 @@
     }
 
     /// A beat was answered.
-    pub fn told(&mut self, now: BootTime, told: &Told, setup: &QuorumConfig) -> Vec<News> {
+    pub fn told(&mut self, now: BootTime, told: &HeartbeatReply, setup: &QuorumConfig) -> Vec<News> {
         let mut news = self.expire(now);
         let sent = self.sent_at(told.seq);
         let Some(sent) = sent.filter(|_| told.seq > self.heard) else { return news };
@@ -188,10 +188,10 @@
         }
     }
 
-    fn told(seq: u64, holds: &[(&str, u64)]) -> Told {
+    fn told(seq: u64, holds: &[(&str, u64)]) -> HeartbeatReply {
         let holds = holds.iter().map(|(d, e)| (Duty((*d).into()), Epoch(*e), Micros(1000))).collect();
         let process = Process::default();
-        Told {
+        HeartbeatReply {
             process,
             seq,
             reign: Reign(1),
--- a/src/quorum/ledger.rs
+++ b/src/quorum/ledger.rs
@@ -6,7 +6,7 @@
 use super::agree::Confirm;
 use super::book::{Book, Change, Ended, Entry};
 use super::council::{Council, Offer};
-use super::frame::{Beat, Counts, Told};
+use super::frame::{Counts, Heartbeat, HeartbeatReply};
 use super::view::{Fleet, Mate, View};
 use super::{BootTime, Duty, Epoch, Name, Process, QuorumConfig, RECORD, Reign, VoterId};
 use crate::api::Micros;
@@ -55,7 +55,7 @@
     confirm: Confirm,
     begun: BootTime,
     yes: BTreeSet<VoterId>,
-    beats: BTreeMap<Process, (Via, Beat)>,
+    beats: BTreeMap<Process, (Via, Heartbeat)>,
 }
 
 /// What the leader knows for itself.
@@ -78,7 +78,7 @@
     /// Duties that are to be handed on, by whom.
     asked_back: BTreeMap<Duty, Epoch>,
     passed_over: BTreeMap<Duty, (Name, BootTime)>,
-    waiting: BTreeMap<Process, (Via, Beat)>,
+    waiting: BTreeMap<Process, (Via, Heartbeat)>,
     round: Option<Round>,
     rounds: u64,
     confirmed_at: Option<BootTime>,
@@ -139,13 +139,13 @@
     }
 
     /// A beat has come. Those that a majority must vouch for wait; what can be said at once is given back.
-    pub fn beat(&mut self, now: BootTime, via: Via, beat: Beat, book: &Book) -> Option<Told> {
+    pub fn beat(&mut self, now: BootTime, via: Via, beat: Heartbeat, book: &Book) -> Option<HeartbeatReply> {
         let name = &beat.process.name;
         let twin = self.heard.get(name).filter(|h| now.since(h.at) < self.setup.gone);
         if twin.is_some_and(|h| h.process.incarnation > beat.process.incarnation)
             && !mutant::on(Mutant::Twins)
         {
-            return Some(Told { twin: true, ..self.told(&beat, Vec::new(), book) });
+            return Some(HeartbeatReply { twin: true, ..self.told(&beat, Vec::new(), book) });
         }
         let heard = self.heard.entry(name.clone()).or_insert_with(|| Heard {
             process: beat.process.clone(),
@@ -209,7 +209,7 @@
         from: VoterId,
         confirm: Confirm,
         book: &Book,
-    ) -> Vec<(Via, Told)> {
+    ) -> Vec<(Via, HeartbeatReply)> {
         let Some(round) = self.round.as_mut().filter(|r| r.confirm == confirm) else { return Vec::new() };
         round.yes.insert(from);
         if round.yes.len() < self.majority {
@@ -221,7 +221,7 @@
     }
 
     /// Says what a process holds, and counts from now until when it may count on it.
-    fn answer(&mut self, now: BootTime, beat: &Beat, book: &Book) -> Told {
+    fn answer(&mut self, now: BootTime, beat: &Heartbeat, book: &Book) -> HeartbeatReply {
         let mut holds = Vec::new();
         for (duty, lease) in &book.duties {
             let own = lease.holder == beat.process
@@ -241,11 +241,11 @@
         let back = holds.iter().filter_map(back).collect();
         let fleet = holds.iter().any(|(duty, _, _)| duty.0 == RECORD).then(|| self.fleet(now));
         let rules = self.word(now, beat, book);
-        Told { back, fleet, rules, ..self.told(beat, holds, book) }
+        HeartbeatReply { back, fleet, rules, ..self.told(beat, holds, book) }
     }
 
-    fn told(&self, beat: &Beat, holds: Vec<(Duty, Epoch, Micros)>, book: &Book) -> Told {
-        Told {
+    fn told(&self, beat: &Heartbeat, holds: Vec<(Duty, Epoch, Micros)>, book: &Book) -> HeartbeatReply {
+        HeartbeatReply {
             process: beat.process.clone(),
             seq: beat.seq,
             reign: self.reign,
--- a/src/quorum/ledger/ruled.rs
+++ b/src/quorum/ledger/ruled.rs
@@ -3,7 +3,7 @@
 use super::Ledger;
 use crate::api::Micros;
 use crate::quorum::book::{Book, Entry};
-use crate::quorum::frame::Beat;
+use crate::quorum::frame::Heartbeat;
 use crate::quorum::view::ActingStatus;
 use crate::quorum::{BootTime, Process};
 use crate::rules::document::Rules;
@@ -12,7 +12,7 @@
 
 impl Ledger {
     /// What a process is told of the rules: it may go by them for a while from when it asked.
-    pub(super) fn word(&mut self, now: BootTime, beat: &Beat, book: &Book) -> Word {
+    pub(super) fn word(&mut self, now: BootTime, beat: &Heartbeat, book: &Book) -> Word {
         // Also while there are no rules: the first ones wait for all that act on none.
         let ruled = &book.rules;
         let (force, accepted, _) = &beat.rules;
--- a/src/quorum/ledger/tests.rs
+++ b/src/quorum/ledger/tests.rs
@@ -31,11 +31,11 @@
     Duty("idle".into())
 }
 
-fn beat(of: &Process, seq: u64) -> Beat {
+fn beat(of: &Process, seq: u64) -> Heartbeat {
     let (wants, gives, progress) = (vec![(duty(), 1)], Vec::new(), Vec::new());
     let (version, draining, counts) = (0, false, Counts::default());
     let (council, offer, rules) = (1, None, Default::default());
-    Beat {
+    Heartbeat {
         process: of.clone(),
         seq,
         version,
@@ -66,7 +66,7 @@
 }
 
 /// One beat, vouched for by a majority.
-fn answered(ledger: &mut Ledger, now: u64, beat: Beat, book: &Book) -> Told {
+fn answered(ledger: &mut Ledger, now: u64, beat: Heartbeat, book: &Book) -> HeartbeatReply {
     assert!(ledger.beat(BootTime(now), Via::Own, beat, book).is_none(), "it waits for a majority");
     let confirm = ledger.ask(BootTime(now)).unwrap();
     let mut told = ledger.confirmed(BootTime(now), 2, confirm, book);
@@ -149,9 +149,9 @@
     let book = book(Some(&a));
     let mut ledger = ledger(&book, 0);
     let gives = vec![(duty(), Epoch(1))];
-    ledger.beat(BootTime(10), Via::Own, Beat { gives: gives.clone(), ..beat(&b, 1) }, &book);
+    ledger.beat(BootTime(10), Via::Own, Heartbeat { gives: gives.clone(), ..beat(&b, 1) }, &book);
     assert!(ends(&ledger.decide(BootTime(11), &book)).is_empty(), "not its own");
-    ledger.beat(BootTime(12), Via::Own, Beat { gives, ..beat(&a, 1) }, &book);
+    ledger.beat(BootTime(12), Via::Own, Heartbeat { gives, ..beat(&a, 1) }, &book);
     assert_eq!(ends(&ledger.decide(BootTime(13), &book)), [Ended::Released]);
 }
 
@@ -162,7 +162,7 @@
     let mut ledger = ledger(&book, 0);
     let mut at = |now: u64, count: u64| {
         let progress = vec![(duty(), Epoch(1), count)];
-        answered(&mut ledger, now, Beat { progress, ..beat(&a, now) }, &book).holds.len()
+        answered(&mut ledger, now, Heartbeat { progress, ..beat(&a, now) }, &book).holds.len()
     };
     assert_eq!((at(100, 1), at(5000, 2), at(9900, 2)), (1, 1, 1));
     assert_eq!(at(10_000, 2), 0, "no progress for 5,000");
@@ -178,7 +178,7 @@
         ledger.beat(
             BootTime(300),
             Via::Own,
-            Beat { draining, ..beat(&process(&format!("m{i}"), 1), 1) },
+            Heartbeat { draining, ..beat(&process(&format!("m{i}"), 1), 1) },
             &book,
         );
     }
--- a/src/quorum/machine.rs
+++ b/src/quorum/machine.rs
@@ -8,7 +8,7 @@
 use super::book::Change;
 use super::council::{Council, NOBODY, Tenure};
 use super::founding::{Barred, Founding, Papers, Step};
-use super::frame::{Beat, Counts, Frame, Hello, NoFrame, Refused, Told};
+use super::frame::{Counts, Frame, Heartbeat, HeartbeatReply, Hello, NoFrame, Refused};
 use super::fronts::{Crowd, FleetPosition};
 use super::holder::{Holder, News};
 use super::journal::{self, Identity, Read};
@@ -422,7 +422,7 @@
                 let leader = self.leader_name();
                 out.push(Out::Reply(conn, Frame::HandingOn(done.unwrap_or(false), leader)));
             }
-            (Frame::Beat(beat, passed), _) if caller.process.is_some() => {
+            (Frame::Heartbeat(beat, passed), _) if caller.process.is_some() => {
                 // A voter may pass on what others say; everybody else speaks for itself.
                 let own = caller.process.as_ref() == Some(&beat.process);
                 let for_another = passed && caller.voter.is_some();
@@ -568,7 +568,7 @@
                 }
                 out.push(Out::Redial(voter, "refused"));
             }
-            Frame::Told(told) => self.told(now, told, out),
+            Frame::HeartbeatReply(told) => self.told(now, told, out),
             Frame::Nudge(process) => self.nudged(now, process, out),
             Frame::Council(tenure) => self.succeed(*tenure, out),
             _ => out.push(Out::Redial(voter, "garbled")),
@@ -804,7 +804,7 @@
     }
 
     /// A beat has reached this voter.
-    fn beaten(&mut self, now: BootTime, via: Via, beat: Beat, passed: bool, out: &mut Vec<Out>) {
+    fn beaten(&mut self, now: BootTime, via: Via, beat: Heartbeat, passed: bool, out: &mut Vec<Out>) {
         let Some(seat) = &mut self.seat else { return };
         let Some(agree) = &seat.agree else { return };
         if let Some(ledger) = &mut seat.ledger {
@@ -819,14 +819,14 @@
                 seat.passed.clear();
             }
             seat.passed.insert(beat.process.clone(), via);
-            out.push(Out::Send(leader, Frame::Beat(beat, true)));
+            out.push(Out::Send(leader, Frame::Heartbeat(beat, true)));
         }
     }
 
-    fn reply(&mut self, now: BootTime, via: Via, told: Told, out: &mut Vec<Out>) {
+    fn reply(&mut self, now: BootTime, via: Via, told: HeartbeatReply, out: &mut Vec<Out>) {
         match via {
             Via::Own => self.told(now, told, out),
-            Via::Conn(conn) => out.push(Out::Reply(conn, Frame::Told(told))),
+            Via::Conn(conn) => out.push(Out::Reply(conn, Frame::HeartbeatReply(told))),
         }
     }
 
@@ -857,7 +857,7 @@
             let count = if duty.0 == RECORD { self.writer.written() } else { self.idle_acts };
             (duty.clone(), epoch, count)
         });
-        let beat = Beat {
+        let beat = Heartbeat {
             process: self.process.clone(),
             seq: self.seq,
             version: self.view.version,
@@ -873,12 +873,12 @@
         if Some(self.target) == self.seat.as_ref().map(|s| s.me) {
             self.beaten(now, Via::Own, beat, false, out);
         } else {
-            out.push(Out::Send(self.target, Frame::Beat(beat, false)));
+            out.push(Out::Send(self.target, Frame::Heartbeat(beat, false)));
         }
     }
 
     /// A beat was answered: this process's own, or one that it passed on.
-    fn told(&mut self, now: BootTime, told: Told, out: &mut Vec<Out>) {
+    fn told(&mut self, now: BootTime, told: HeartbeatReply, out: &mut Vec<Out>) {
         if told.process != self.process {
             let via = self.seat.as_mut().and_then(|s| s.passed.get(&told.process).copied());
             if let Some(via @ Via::Conn(_)) = via {
