--- a/src/net/quorum.rs
+++ b/src/net/quorum.rs
@@ -470,9 +470,9 @@
     quorum.next_conn.set(conn + 1);
     quorum.conns.borrow_mut().insert(conn, link.clone());
     quorum.step(Input::Accepted(conn));
-    let heard = |frame: Result<Frame, frame::NoFrame>| match frame {
+    let heard = |frame: Result<Frame, frame::FrameError>| match frame {
         Ok(frame) => quorum.step(Input::Called(conn, frame)),
-        Err(why) => quorum.step(Input::NoFrame(conn, why)),
+        Err(why) => quorum.step(Input::FrameError(conn, why)),
     };
     let reason = drive(&stream, &link, &quorum.sent, heard).await;
     quorum.conns.borrow_mut().remove(&conn);
@@ -490,7 +490,7 @@
             quorum.links.borrow_mut().insert(voter, link.clone());
             quorum.step(Input::Up(voter));
             let mut welcomed = false;
-            let heard = |frame: Result<Frame, frame::NoFrame>| match frame {
+            let heard = |frame: Result<Frame, frame::FrameError>| match frame {
                 Ok(frame) => {
                     welcomed |= matches!(frame, Frame::Welcome(..));
                     quorum.step(Input::Answer(voter, frame));
@@ -514,7 +514,7 @@
     stream: &Async<TcpStream>,
     link: &Link,
     sent: &Cell<(u64, u64)>,
-    mut heard: impl FnMut(Result<Frame, frame::NoFrame>),
+    mut heard: impl FnMut(Result<Frame, frame::FrameError>),
 ) -> &'static str {
     let read = async {
         let (mut reader, mut buffer) = (Reader::default(), vec![0; TURN]);
--- a/src/net/quorum/commands.rs
+++ b/src/net/quorum/commands.rs
@@ -12,12 +12,12 @@
 use super::super::clock::unix;
 use super::super::reading::{TURN, within};
 use crate::disk;
-use crate::quorum::council::Unreplaced;
+use crate::quorum::council::ReplaceError;
 use crate::quorum::frame::{self, Frame, Hello, Reader};
 use crate::quorum::record;
 use crate::quorum::view::{RulesStatus, Status};
 use crate::quorum::{Duty, Name, QuorumConfig, Voter};
-use crate::rules::version::{Fate, Proposal, Unproposed, Version};
+use crate::rules::version::{Fate, Proposal, ProposeError, Version};
 
 /// How long a command waits for an answer.
 const COMMAND: Duration = Duration::from_secs(3);
@@ -153,7 +153,7 @@
     let frame = Frame::Replace(Name(gone.to_owned()), Name(new.to_owned()));
     // Whatever else the leader says, whoever else is asked does not know better.
     let answer = |frame: Frame| match frame {
-        Frame::Replacing(Err(why @ Unreplaced::NotLeading)) => Some(Err(why.to_string())),
+        Frame::Replacing(Err(why @ ReplaceError::NotLeading)) => Some(Err(why.to_string())),
         Frame::Replacing(done) => Some(Ok(done)),
         _ => None,
     };
@@ -187,7 +187,7 @@
     let at_ms = unix().0 / 1_000;
     let frame = Frame::Propose(Box::new(Proposal { at_ms, ..proposal.clone() }));
     let answer = |frame: Frame| match frame {
-        Frame::Proposed(Err(why @ Unproposed::NotLeading)) => Some(Err(why.to_string())),
+        Frame::Proposed(Err(why @ ProposeError::NotLeading)) => Some(Err(why.to_string())),
         Frame::Proposed(done) => Some(Ok(done)),
         _ => None,
     };
--- a/src/quorum/council.rs
+++ b/src/quorum/council.rs
@@ -46,7 +46,7 @@
 
 /// Why a voter is not replaced.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Unreplaced {
+pub enum ReplaceError {
     /// The process that was asked does not lead.
     NotLeading,
     /// An earlier change is not through yet.
@@ -59,14 +59,14 @@
     NoOffer(Name),
 }
 
-impl fmt::Display for Unreplaced {
+impl fmt::Display for ReplaceError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unreplaced::NotLeading => f.write_str("does not lead"),
-            Unreplaced::Underway => f.write_str("an earlier change of voters is not through yet"),
-            Unreplaced::NoVoter(name) => write!(f, "{name} does not vote"),
-            Unreplaced::Votes(name) => write!(f, "{name} votes already"),
-            Unreplaced::NoOffer(name) => write!(
+            ReplaceError::NotLeading => f.write_str("does not lead"),
+            ReplaceError::Underway => f.write_str("an earlier change of voters is not through yet"),
+            ReplaceError::NoVoter(name) => write!(f, "{name} does not vote"),
+            ReplaceError::Votes(name) => write!(f, "{name} votes already"),
+            ReplaceError::NoOffer(name) => write!(
                 f,
                 "{name} is not there as a spare: it must run, with a folder and a [[quorum.voter]] of its own"
             ),
@@ -133,11 +133,11 @@
 
     /// The next council, with one voter in the place of another. A voter whose folder was lost may take its own
     /// place, under a new number.
-    pub fn replaced(&self, gone: &Name, new: &Name, offer: Offer) -> Result<Council, Unreplaced> {
+    pub fn replaced(&self, gone: &Name, new: &Name, offer: Offer) -> Result<Council, ReplaceError> {
         let at = self.voters.iter().position(|v| v.name == *gone);
-        let at = at.ok_or_else(|| Unreplaced::NoVoter(gone.clone()))?;
+        let at = at.ok_or_else(|| ReplaceError::NoVoter(gone.clone()))?;
         if gone != new && self.id_of(new) != NOBODY {
-            return Err(Unreplaced::Votes(new.clone()));
+            return Err(ReplaceError::Votes(new.clone()));
         }
         let mut next = self.clone();
         next.voters[at] = Councillor { id: self.next, name: new.clone(), address: offer.address };
@@ -175,8 +175,8 @@
         assert_eq!((second.number, second.ids(), second.majority()), (2, vec![1, 4, 3], 2));
         let third = second.replaced(&name("m4"), &name("m4"), offer).unwrap();
         assert_eq!((third.ids(), third.id_of(&name("m4"))), (vec![1, 5, 3], 5));
-        assert_eq!(second.replaced(&name("m2"), &name("m5"), offer), Err(Unreplaced::NoVoter(name("m2"))));
-        assert_eq!(second.replaced(&name("m1"), &name("m3"), offer), Err(Unreplaced::Votes(name("m3"))));
+        assert_eq!(second.replaced(&name("m2"), &name("m5"), offer), Err(ReplaceError::NoVoter(name("m2"))));
+        assert_eq!(second.replaced(&name("m1"), &name("m3"), offer), Err(ReplaceError::Votes(name("m3"))));
         assert_eq!([third.after(1), third.after(5), third.after(3), third.after(2)], [5, 3, 1, 1]);
     }
 
--- a/src/quorum/frame.rs
+++ b/src/quorum/frame.rs
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 
 use super::agree::{Confirm, Paxos};
-use super::council::{Offer, Tenure, Unreplaced};
+use super::council::{Offer, ReplaceError, Tenure};
 use super::founding::{Barred, Papers};
 use super::view::{Fleet, RulesStatus, Status, View};
 use super::{Duty, Epoch, Name, Process, Reign, VoterId};
 use crate::api::Micros;
 use crate::rules::standing::Word;
-use crate::rules::version::{Proposal, Unproposed};
+use crate::rules::version::{Proposal, ProposeError};
 
 /// The format of links, journal and book. What another speaks is refused by its number.
 pub const FORMAT: u16 = 2;
@@ -168,11 +168,11 @@
     /// A command asks for a voter to be replaced, by whom.
     Replace(Name, Name),
     /// The number of the council that was proposed, or why none was.
-    Replacing(Result<u32, Unreplaced>),
+    Replacing(Result<u32, ReplaceError>),
     /// A command proposes a document of rules.
     Propose(Box<Proposal>),
     /// The number under which it is announced, or why it is not.
-    Proposed(Result<u64, Unproposed>),
+    Proposed(Result<u64, ProposeError>),
     /// A command asks for the announced version to be withdrawn.
     Abort(u64),
     /// Whether that was proposed.
@@ -185,7 +185,7 @@
 
 /// Why bytes are no frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoFrame {
+pub enum FrameError {
     /// The connection does not begin as one of this protocol does.
     Mark,
     /// It begins with another format.
@@ -196,14 +196,14 @@
     Garbled,
 }
 
-impl NoFrame {
+impl FrameError {
     /// Its reason code.
     pub fn code(self) -> &'static str {
         match self {
-            NoFrame::Mark => "bad-mark",
-            NoFrame::Format(_) => "unknown-format",
-            NoFrame::TooLong => "too-long",
-            NoFrame::Garbled => "garbled",
+            FrameError::Mark => "bad-mark",
+            FrameError::Format(_) => "unknown-format",
+            FrameError::TooLong => "too-long",
+            FrameError::Garbled => "garbled",
         }
     }
 }
@@ -242,17 +242,17 @@
     }
 
     /// The next frame, once it is whole. After an error the connection is of no use.
-    pub fn take(&mut self) -> Result<Option<Frame>, NoFrame> {
+    pub fn take(&mut self) -> Result<Option<Frame>, FrameError> {
         let rest = &self.bytes[self.at..];
         if !self.begun {
             let mark = MARK.len().min(rest.len());
             if rest[..mark] != MARK[..mark] {
-                return Err(NoFrame::Mark);
+                return Err(FrameError::Mark);
             }
             let Some(format) = rest.get(4..6) else { return Ok(None) };
             let format = u16::from_le_bytes([format[0], format[1]]);
             if format != FORMAT {
-                return Err(NoFrame::Format(format));
+                return Err(FrameError::Format(format));
             }
             self.begun = true;
             self.at += 6;
@@ -261,13 +261,13 @@
         let Some(length) = rest.get(..4) else { return Ok(None) };
         let length = u32::from_le_bytes([length[0], length[1], length[2], length[3]]) as usize;
         if length > LONGEST {
-            return Err(NoFrame::TooLong);
+            return Err(FrameError::TooLong);
         }
         let Some(payload) = rest.get(4..4 + length) else { return Ok(None) };
         // Bytes behind a frame, within its length, are no frame of this format either.
         let frame = match postcard::take_from_bytes::<Frame>(payload) {
             Ok((frame, [])) => frame,
-            _ => return Err(NoFrame::Garbled),
+            _ => return Err(FrameError::Garbled),
         };
         self.at += 4 + length;
         Ok(Some(frame))
@@ -309,7 +309,7 @@
         bytes
     }
 
-    fn count(reader: &mut Reader) -> Result<usize, NoFrame> {
+    fn count(reader: &mut Reader) -> Result<usize, FrameError> {
         let mut n = 0;
         while reader.take()?.is_some() {
             n += 1;
@@ -335,10 +335,10 @@
         bytes[4] = 9;
         let mut reader = Reader::default();
         reader.feed(&bytes);
-        assert_eq!(reader.take().unwrap_err(), NoFrame::Format(9));
+        assert_eq!(reader.take().unwrap_err(), FrameError::Format(9));
         let mut reader = Reader::default();
         reader.feed(b"GET / HTTP/1.1\r\n");
-        assert_eq!(reader.take().unwrap_err(), NoFrame::Mark);
+        assert_eq!(reader.take().unwrap_err(), FrameError::Mark);
     }
 
     proptest! {
--- a/src/quorum/ledger/ruled.rs
+++ b/src/quorum/ledger/ruled.rs
@@ -8,7 +8,7 @@
 use crate::quorum::{BootTime, Process};
 use crate::rules::document::Rules;
 use crate::rules::standing::Word;
-use crate::rules::version::{Proposal, Unproposed, Version};
+use crate::rules::version::{Proposal, ProposeError, Version};
 
 impl Ledger {
     /// What a process is told of the rules: it may go by them for a while from when it asked.
@@ -43,23 +43,23 @@
     }
 
     /// A document that is to be announced, if it may be.
-    pub fn propose(&mut self, book: &Book, proposal: Proposal) -> Result<Entry, Unproposed> {
+    pub fn propose(&mut self, book: &Book, proposal: Proposal) -> Result<Entry, ProposeError> {
         let Proposal { text, parent, author, note, at_ms } = proposal;
         let ruled = &book.rules;
         if let Some(number) = self.announcing.or(ruled.announced.as_ref().map(|v| v.number)) {
-            return Err(Unproposed::Underway(number));
+            return Err(ProposeError::Underway(number));
         }
         let force = ruled.force();
         let parent = parent.unwrap_or(force);
         if parent != force {
-            return Err(Unproposed::Parent { parent, force });
+            return Err(ProposeError::Parent { parent, force });
         }
-        let wrong = |findings: crate::records::Findings| Unproposed::Wrong(findings.to_string());
+        let wrong = |findings: crate::records::Findings| ProposeError::Wrong(findings.to_string());
         let rules = Rules::read("", &text).map_err(wrong)?;
         if let Some(before) = &ruled.force {
             let old = Rules::read("", &before.text).map_err(wrong)?;
             if old == rules {
-                return Err(Unproposed::Same(force));
+                return Err(ProposeError::Same(force));
             }
             rules.follows(&old, "", &text).map_err(wrong)?;
         }
--- a/src/quorum/machine.rs
+++ b/src/quorum/machine.rs
@@ -8,7 +8,7 @@
 use super::book::Change;
 use super::council::{Council, NOBODY, Tenure};
 use super::founding::{Barred, Founding, Papers, Step};
-use super::frame::{Counts, Frame, Heartbeat, HeartbeatReply, Hello, NoFrame, Refused};
+use super::frame::{Counts, Frame, FrameError, Heartbeat, HeartbeatReply, Hello, Refused};
 use super::fronts::{Crowd, FleetPosition};
 use super::holder::{Holder, News};
 use super::journal::{self, Identity, Read};
@@ -45,7 +45,7 @@
     /// A frame came on it.
     Called(u64, Frame),
     /// What came on it is no frame.
-    NoFrame(u64, NoFrame),
+    FrameError(u64, FrameError),
     /// It has ended.
     Hung(u64),
     /// The journal is on disk up to this frame.
@@ -332,9 +332,9 @@
                 self.callers.insert(conn, Caller { process: None, voter: None, papers: None });
             }
             Input::Called(conn, frame) => self.called(now, conn, frame, out),
-            Input::NoFrame(conn, why) => {
+            Input::FrameError(conn, why) => {
                 let refused = match why {
-                    NoFrame::Format(_) => Refused::Format(super::frame::FORMAT),
+                    FrameError::Format(_) => Refused::Format(super::frame::FORMAT),
                     _ => Refused::Garbled,
                 };
                 self.refuse(conn, refused, out);
--- a/src/quorum/machine/ruled.rs
+++ b/src/quorum/machine/ruled.rs
@@ -3,14 +3,14 @@
 use super::{Machine, Out};
 use crate::quorum::BootTime;
 use crate::quorum::view::RulesStatus;
-use crate::rules::version::{Proposal, Unproposed};
+use crate::rules::version::{Proposal, ProposeError};
 
 impl Machine {
     /// A document of rules is to be announced.
-    pub(super) fn propose(&mut self, proposal: Proposal, out: &mut Vec<Out>) -> Result<u64, Unproposed> {
+    pub(super) fn propose(&mut self, proposal: Proposal, out: &mut Vec<Out>) -> Result<u64, ProposeError> {
         let seat = self.seat.as_mut();
         let led = seat.and_then(|s| s.ledger.as_mut().zip(s.agree.as_ref()));
-        let (ledger, agree) = led.ok_or(Unproposed::NotLeading)?;
+        let (ledger, agree) = led.ok_or(ProposeError::NotLeading)?;
         let number = agree.book().rules.last + 1;
         let entry = ledger.propose(agree.book(), proposal)?;
         self.agreeing(out, |agree| agree.propose(entry));
--- a/src/quorum/machine/succession.rs
+++ b/src/quorum/machine/succession.rs
@@ -2,7 +2,7 @@
 //! its own log or from anybody, goes on with the next, whose log begins with the book that the last one left.
 
 use super::{Event, Frame, Machine, Out, Seat, journal};
-use crate::quorum::council::{Council, NOBODY, Offer, Tenure, Unreplaced};
+use crate::quorum::council::{Council, NOBODY, Offer, ReplaceError, Tenure};
 use crate::quorum::founding::{Barred, Founding};
 use crate::quorum::journal::Roster;
 use crate::quorum::store::{State, Store};
@@ -23,15 +23,15 @@
         gone: &Name,
         new: &Name,
         out: &mut Vec<Out>,
-    ) -> Result<u32, Unreplaced> {
-        let seat = self.seat.as_ref().ok_or(Unreplaced::NotLeading)?;
+    ) -> Result<u32, ReplaceError> {
+        let seat = self.seat.as_ref().ok_or(ReplaceError::NotLeading)?;
         let (ledger, roster) =
-            seat.ledger.as_ref().zip(seat.founding.roster()).ok_or(Unreplaced::NotLeading)?;
+            seat.ledger.as_ref().zip(seat.founding.roster()).ok_or(ReplaceError::NotLeading)?;
         let offer = ledger.offer(now, new);
         // What the names lack is said first: it does not mend itself.
         let none = Offer { identity: 0, address: ([0, 0, 0, 0], 0).into() };
         let next = self.council.replaced(gone, new, offer.unwrap_or(none))?;
-        let offer = offer.ok_or_else(|| Unreplaced::NoOffer(new.clone()))?;
+        let offer = offer.ok_or_else(|| ReplaceError::NoOffer(new.clone()))?;
         let mut roster = roster.clone();
         roster.retain(|id, _| next.voter(*id).is_some());
         roster.insert(self.council.next, offer.identity);
@@ -41,7 +41,7 @@
             accepted = agree.succeed(&next, told)?;
             Ok(())
         });
-        if accepted { Ok(next.number) } else { Err(Unreplaced::Underway) }
+        if accepted { Ok(next.number) } else { Err(ReplaceError::Underway) }
     }
 
     /// This council's log is over: the next council is agreed on.
--- a/src/rules/version.rs
+++ b/src/rules/version.rs
@@ -71,7 +71,7 @@
 
 /// Why a document is not proposed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Unproposed {
+pub enum ProposeError {
     /// The process that was asked does not lead.
     NotLeading,
     /// Another is announced and not in force yet.
@@ -89,18 +89,18 @@
     Same(u64),
 }
 
-impl fmt::Display for Unproposed {
+impl fmt::Display for ProposeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unproposed::NotLeading => f.write_str("does not lead"),
-            Unproposed::Underway(number) => {
+            ProposeError::NotLeading => f.write_str("does not lead"),
+            ProposeError::Underway(number) => {
                 write!(f, "version {number} is announced: wait until it is in force, or abort it")
             }
-            Unproposed::Parent { parent, force } => {
+            ProposeError::Parent { parent, force } => {
                 write!(f, "goes on from version {parent}, but version {force} is in force")
             }
-            Unproposed::Wrong(why) => f.write_str(why),
-            Unproposed::Same(number) => write!(f, "says the same as version {number}, which is in force"),
+            ProposeError::Wrong(why) => f.write_str(why),
+            ProposeError::Same(number) => write!(f, "says the same as version {number}, which is in force"),
         }
     }
 }
--- a/tests/quorum.rs
+++ b/tests/quorum.rs
@@ -6,7 +6,7 @@
 use amberspindle::api::Micros;
 use amberspindle::config::Config;
 use amberspindle::quorum::book::Change;
-use amberspindle::quorum::council::Unreplaced;
+use amberspindle::quorum::council::ReplaceError;
 use amberspindle::quorum::founding::Barred;
 use amberspindle::quorum::frame::Frame;
 use amberspindle::quorum::fronts::FleetPosition;
@@ -17,7 +17,7 @@
     BootTime, Duty, Incarnation, Input, Machine, Name, Out, QuorumConfig, Voter, VoterId,
 };
 use amberspindle::rules::standing::{Ruling, Standing, Sure};
-use amberspindle::rules::version::{Proposal, Unproposed};
+use amberspindle::rules::version::{Proposal, ProposeError};
 
 const VOTERS: u64 = 3;
 const MEMBERS: u64 = 5;
@@ -124,7 +124,7 @@
     }
 
     /// Proposes a limit for all, at the leader.
-    fn propose(&mut self, most_per_s: u32) -> Result<u64, Unproposed> {
+    fn propose(&mut self, most_per_s: u32) -> Result<u64, ProposeError> {
         let leader = self.leader().unwrap();
         self.input(leader, Input::Accepted(99));
         let text = format!("[[limit]]\nmost_per_s = {most_per_s}\n");
@@ -511,10 +511,10 @@
     let mut world = World::new();
     world.pass(5_000_000);
     assert_eq!(world.propose(50), Ok(1));
-    assert_eq!(world.propose(60), Err(Unproposed::Underway(1)));
+    assert_eq!(world.propose(60), Err(ProposeError::Underway(1)));
     world.pass(3_000_000);
     assert_eq!(per_s(&world.held()), [50; 5]);
-    assert_eq!(world.propose(50), Err(Unproposed::Same(1)));
+    assert_eq!(world.propose(50), Err(ProposeError::Same(1)));
     world.cut(5);
     assert_eq!(world.propose(20), Ok(2));
     let mut tighter = None;
@@ -557,10 +557,10 @@
     world.input(leader, Input::Accepted(99));
     let name = |n: &str| Name(n.into());
     for (gone, new, why) in [
-        ("m9", "m4", Unreplaced::NoVoter(name("m9"))),
-        ("m1", "m3", Unreplaced::Votes(name("m3"))),
-        ("m1", "m5", Unreplaced::NoOffer(name("m5"))),
-        ("m1", "m1", Unreplaced::NoOffer(name("m1"))),
+        ("m9", "m4", ReplaceError::NoVoter(name("m9"))),
+        ("m1", "m3", ReplaceError::Votes(name("m3"))),
+        ("m1", "m5", ReplaceError::NoOffer(name("m5"))),
+        ("m1", "m1", ReplaceError::NoOffer(name("m1"))),
     ] {
         let mut out = Vec::new();
         let asked = Frame::Replace(name(gone), name(new));
