--- a/src/net/quorum.rs
+++ b/src/net/quorum.rs
@@ -38,7 +38,7 @@
 use crate::quorum::queue::Queue;
 use crate::quorum::record::{self, Done, Job};
 use crate::quorum::{BootTime, Incarnation, Input, Machine, Out, QuorumConfig, VoterId};
-use crate::rules::standing::{Standing, Sure};
+use crate::rules::standing::{LocalRules, RulesFreshness};
 
 /// A link that doesn't come up within this has failed.
 const CONNECT: Duration = Duration::from_secs(1);
@@ -111,7 +111,7 @@
     /// Tells the module how many fronts there are.
     fronts: Box<dyn Fn(FleetPosition)>,
     /// Tells the node what it acts on.
-    rules: Box<dyn Fn(Standing)>,
+    rules: Box<dyn Fn(LocalRules)>,
 }
 
 fn tell(event: &Event) {
@@ -139,10 +139,10 @@
         Event::Refused(who, why) => warn!(event = "quorum.refused", who = who.as_str(), reason = %why),
         Event::Sure(sure) => {
             let (state, version, next) = match sure {
-                Sure::None => ("none", 0, 0),
-                Sure::Fresh(version) => ("fresh", *version, 0),
-                Sure::Between(version, next) => ("between", *version, *next),
-                Sure::Unsure(version) => ("unsure", *version, 0),
+                RulesFreshness::None => ("none", 0, 0),
+                RulesFreshness::Fresh(version) => ("fresh", *version, 0),
+                RulesFreshness::Between(version, next) => ("between", *version, *next),
+                RulesFreshness::Unsure(version) => ("unsure", *version, 0),
             };
             info!(event = "rules.sure", state, version, next, at = real_now());
         }
@@ -203,7 +203,7 @@
     setup: &QuorumConfig,
     incarnation: Incarnation,
     fronts: Box<dyn Fn(FleetPosition)>,
-    rules: Box<dyn Fn(Standing)>,
+    rules: Box<dyn Fn(LocalRules)>,
 ) -> io::Result<Rc<Quorum>> {
     #[cfg(feature = "trials")]
     mutant::choose(mutant::of_environment());
--- a/src/net/run.rs
+++ b/src/net/run.rs
@@ -29,7 +29,7 @@
 use crate::quorum::fronts::FleetPosition;
 use crate::records::Findings;
 use crate::roster::{ListUpdate, Source};
-use crate::rules::standing::Standing;
+use crate::rules::standing::LocalRules;
 
 /// Time between counts that the quorum is told.
 const COUNTED: Duration = Duration::from_millis(250);
@@ -131,7 +131,7 @@
         step(&told, |node, now, out| node.set_fleet_position(now, fronts.count, fronts.place, out));
     };
     let told = shared.clone();
-    let ruled = move |standing: Standing| {
+    let ruled = move |standing: LocalRules| {
         step(&told, |node, now, out| node.ruled(now, standing, out));
     };
     let quorum = quorum::start(&shared.executor, setup, incarnation, Box::new(paced), Box::new(ruled))?;
--- a/src/node/ruled.rs
+++ b/src/node/ruled.rs
@@ -9,14 +9,14 @@
 use crate::faults;
 use crate::peers::BootTime;
 use crate::platform::links::Command;
-use crate::rules::gate::Gate;
-use crate::rules::standing::{Ruling, Standing, Sure};
+use crate::rules::gate::RateLimiter;
+use crate::rules::standing::{LocalRules, RateDecision, RulesFreshness};
 
 /// What a node knows of its rules.
 #[derive(Default)]
 pub(super) struct Ruled {
-    standing: Standing,
-    gate: Gate,
+    standing: LocalRules,
+    gate: RateLimiter,
     boot: BootTime,
     /// Barred servers, as the lists have them.
     barred: BTreeMap<ServerId, ServerEntry>,
@@ -36,7 +36,7 @@
     }
 
     /// What this broker acts on from now on.
-    pub fn ruled(&mut self, now: Micros, standing: Standing, out: &mut Vec<Command>) {
+    pub fn ruled(&mut self, now: Micros, standing: LocalRules, out: &mut Vec<Command>) {
         let ruled = self.ruled.get_or_insert_with(Ruled::default);
         let before = std::mem::replace(&mut ruled.standing, standing).versions();
         // Each answer to a beat comes by here; who is barred changes with the versions alone.
@@ -88,17 +88,17 @@
             let at = (ruled.boot.0 as f64 / faults::figure("clock-rate").unwrap_or(1.0)) as u64;
             let held = |state: &str, version: u64| {
                 let per_s = match ruling {
-                    Ruling::Free => "free".to_owned(),
-                    Ruling::Limit { per_s, .. } => per_s.to_string(),
-                    Ruling::Refuse(_) => "refuse".to_owned(),
+                    RateDecision::Free => "free".to_owned(),
+                    RateDecision::Limit { per_s, .. } => per_s.to_string(),
+                    RateDecision::Refuse(_) => "refuse".to_owned(),
                 };
                 format!("rules.held at={at} class={class} state={state} version={version} per_s={per_s}")
             };
             self.log.push(match ruled.standing.sure(ruled.boot) {
-                Sure::None => held("none", 0),
-                Sure::Fresh(version) => held("fresh", version),
-                Sure::Between(version, _) => held("between", version),
-                Sure::Unsure(version) => held("unsure", version),
+                RulesFreshness::None => held("none", 0),
+                RulesFreshness::Fresh(version) => held("fresh", version),
+                RulesFreshness::Between(version, _) => held("between", version),
+                RulesFreshness::Unsure(version) => held("unsure", version),
             });
         }
         ruled.gate.ask(now, request.tenant, request.class, ruling)
--- a/src/quorum/book.rs
+++ b/src/quorum/book.rs
@@ -9,7 +9,7 @@
 use super::{Duty, Epoch, Name, Process, Reign, VoterId};
 use crate::api::Micros;
 use crate::mutant::{self, Mutant};
-use crate::rules::version::{Ruled, Version};
+use crate::rules::version::{RulesLog, Version};
 
 /// Ends of leases that are remembered, for operators.
 const HISTORY: usize = 64;
@@ -172,7 +172,7 @@
     /// The last leases that ended, oldest first.
     pub past: VecDeque<Past>,
     /// The rules.
-    pub rules: Ruled,
+    pub rules: RulesLog,
 }
 
 impl Book {
--- a/src/quorum/frame.rs
+++ b/src/quorum/frame.rs
@@ -11,7 +11,7 @@
 use super::view::{Fleet, RulesStatus, Status, View};
 use super::{Duty, Epoch, Name, Process, Reign, VoterId};
 use crate::api::Micros;
-use crate::rules::standing::Word;
+use crate::rules::standing::RulesUpdate;
 use crate::rules::version::{Proposal, ProposeError};
 
 /// The format of links, journal and book. What another speaks is refused by its number.
@@ -81,7 +81,7 @@
     /// Another process of this name started later.
     pub twin: bool,
     /// The rules.
-    pub rules: Word,
+    pub rules: RulesUpdate,
 }
 
 /// Why a connection is refused.
--- a/src/quorum/ledger.rs
+++ b/src/quorum/ledger.rs
@@ -12,7 +12,7 @@
 use crate::api::Micros;
 use crate::mutant::{self, Mutant};
 use crate::rules::force::Forcing;
-use crate::rules::standing::Word;
+use crate::rules::standing::RulesUpdate;
 
 mod ruled;
 
@@ -255,7 +255,7 @@
             view: (beat.version != book.version).then(|| View::of(book)),
             fleet: None,
             twin: false,
-            rules: Word::default(),
+            rules: RulesUpdate::default(),
         }
     }
 
--- a/src/quorum/ledger/ruled.rs
+++ b/src/quorum/ledger/ruled.rs
@@ -7,18 +7,18 @@
 use crate::quorum::view::ActingStatus;
 use crate::quorum::{BootTime, Process};
 use crate::rules::document::Rules;
-use crate::rules::standing::Word;
+use crate::rules::standing::RulesUpdate;
 use crate::rules::version::{Proposal, ProposeError, Version};
 
 impl Ledger {
     /// What a process is told of the rules: it may go by them for a while from when it asked.
-    pub(super) fn word(&mut self, now: BootTime, beat: &Heartbeat, book: &Book) -> Word {
+    pub(super) fn word(&mut self, now: BootTime, beat: &Heartbeat, book: &Book) -> RulesUpdate {
         // Also while there are no rules: the first ones wait for all that act on none.
         let ruled = &book.rules;
         let (force, accepted, _) = &beat.rules;
         self.forcing.answered(now, &beat.process, *accepted, (ruled.force(), ruled.last));
         let lacks = |v: &&Version| v.number != *force && v.number != *accepted;
-        Word {
+        RulesUpdate {
             force: ruled.force(),
             announced: ruled.announced(),
             versions: [&ruled.force, &ruled.announced].into_iter().flatten().filter(lacks).cloned().collect(),
--- a/src/quorum/machine.rs
+++ b/src/quorum/machine.rs
@@ -19,7 +19,7 @@
 use super::{BootTime, Duty, Epoch, IDLE, Incarnation, Name, Process, QuorumConfig, RECORD, VoterId};
 use crate::api::Micros;
 use crate::mutant::{self, Mutant};
-use crate::rules::standing::{Standing, Sure};
+use crate::rules::standing::{LocalRules, RulesFreshness};
 
 mod ruled;
 mod succession;
@@ -84,7 +84,7 @@
     /// The module is told how many fronts there are.
     FleetPosition(FleetPosition),
     /// What this process acts on, from now on.
-    Rules(Standing),
+    Rules(LocalRules),
     /// Something to tell in the log.
     Tell(Event),
 }
@@ -113,7 +113,7 @@
     /// A connection was refused, by whom and why.
     Refused(String, Refused),
     /// How sure this process is of its rules.
-    Sure(Sure),
+    Sure(RulesFreshness),
     /// A line of the record was not written.
     Unrecorded(Epoch, Done),
 }
@@ -172,9 +172,9 @@
     beat_at: BootTime,
     view: View,
     crowd: Option<Crowd>,
-    standing: Standing,
+    standing: LocalRules,
     /// How sure it was when that was told last.
-    sure: Sure,
+    sure: RulesFreshness,
     fleet: Fleet,
     leader: Option<VoterId>,
     counts: Counts,
@@ -212,8 +212,8 @@
             asked_since: now,
             beat_at: now,
             view: View::default(),
-            standing: Standing::default(),
-            sure: Sure::None,
+            standing: LocalRules::default(),
+            sure: RulesFreshness::None,
             crowd: setup.fronts.map(|settle| Crowd::new(setup.name.clone(), settle)),
             fleet: Fleet::new(),
             leader: None,
@@ -371,7 +371,10 @@
         let seat = self.seat.as_ref();
         let led = seat.and_then(|s| s.ledger.as_ref().zip(s.agree.as_ref()));
         let ledger = led.and_then(|(ledger, agree)| ledger.next(agree.book()));
-        let doubt = self.standing.until().filter(|_| !matches!(self.sure, Sure::None | Sure::Unsure(_)));
+        let doubt = self
+            .standing
+            .until()
+            .filter(|_| !matches!(self.sure, RulesFreshness::None | RulesFreshness::Unsure(_)));
         let acts = self.holder.holds().filter_map(|(duty, _)| match duty.0.as_str() {
             RECORD => self.writer.due(),
             _ => Some(self.idle_at),
--- a/src/quorum/view.rs
+++ b/src/quorum/view.rs
@@ -6,7 +6,7 @@
 use super::frame::Counts;
 use super::{Duty, Epoch, Name, Process, Reign};
 use crate::api::Micros;
-use crate::rules::version::Ruled;
+use crate::rules::version::RulesLog;
 
 /// Who is there and who holds what, as agreed on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -103,7 +103,7 @@
     /// Whether it leads, confirmed by a majority within the last lease.
     pub confirmed: bool,
     /// What the log says.
-    pub ruled: Ruled,
+    pub ruled: RulesLog,
     /// Who acts on what; only the leader knows.
     pub who: Vec<ActingStatus>,
 }
--- a/src/rules/force.rs
+++ b/src/rules/force.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use super::version::Ruled;
+use super::version::RulesLog;
 use crate::api::Micros;
 use crate::mutant;
 use crate::peers::{BootTime, Process};
@@ -71,7 +71,7 @@
     }
 
     /// Whether the announced version may come into force.
-    pub fn ready(&self, now: BootTime, ruled: &Ruled) -> bool {
+    pub fn ready(&self, now: BootTime, ruled: &RulesLog) -> bool {
         let number = ruled.announced();
         if number == 0 {
             return false;
@@ -85,14 +85,14 @@
     }
 
     /// When that may be at the latest, if nobody is answered before.
-    pub fn next(&self, ruled: &Ruled) -> Option<BootTime> {
+    pub fn next(&self, ruled: &RulesLog) -> Option<BootTime> {
         let number = Some(ruled.announced()).filter(|n| *n > 0)?;
         let late = self.acting.values().filter(|a| a.accepted < number).map(|a| a.without(number)).max();
         Some(self.began.after(Micros(self.fresh.0 + self.drift.0)).max(late.unwrap_or_default()))
     }
 
     /// A process that can't use the announced version, and why.
-    pub fn refusal(&self, ruled: &Ruled) -> Option<(&Process, &str)> {
+    pub fn refusal(&self, ruled: &RulesLog) -> Option<(&Process, &str)> {
         let number = ruled.announced();
         self.acting.iter().find_map(|(process, acting)| {
             let (refused, why) = acting.refused.as_ref()?;
@@ -122,9 +122,9 @@
         Process { name: Name(name.into()), incarnation: Incarnation(1) }
     }
 
-    fn announced() -> Ruled {
+    fn announced() -> RulesLog {
         let (digest, author, note, text) = (String::new(), String::new(), String::new(), String::new());
-        let mut ruled = Ruled::default();
+        let mut ruled = RulesLog::default();
         ruled.announce(&Version { number: 1, parent: 0, digest, author, at_ms: 0, note, text });
         ruled
     }
@@ -162,7 +162,7 @@
         let forcing = Forcing::new(BootTime(1000), Micros(100), Micros(10));
         assert!(!forcing.ready(BootTime(1109), &ruled));
         assert!(forcing.ready(BootTime(1110), &ruled));
-        assert!(!forcing.ready(BootTime(1110), &Ruled::default()), "nothing is announced");
+        assert!(!forcing.ready(BootTime(1110), &RulesLog::default()), "nothing is announced");
     }
 
     #[test]
--- a/src/rules/gate.rs
+++ b/src/rules/gate.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::standing::Ruling;
+use super::standing::RateDecision;
 use crate::api::Micros;
 
 /// Tenants and classes that are counted; beyond that the ones asked longest ago are forgotten.
@@ -12,18 +12,24 @@
 
 /// Counts requests under limits.
 #[derive(Clone, Debug, Default)]
-pub struct Gate {
+pub struct RateLimiter {
     /// For each tenant and class: the moment up to which what was let through is paid for.
     paid: BTreeMap<(usize, usize), Micros>,
 }
 
-impl Gate {
+impl RateLimiter {
     /// Lets a request through, or says how long to wait.
-    pub fn ask(&mut self, now: Micros, tenant: usize, class: usize, ruling: Ruling) -> Result<(), Micros> {
+    pub fn ask(
+        &mut self,
+        now: Micros,
+        tenant: usize,
+        class: usize,
+        ruling: RateDecision,
+    ) -> Result<(), Micros> {
         match ruling {
-            Ruling::Free => Ok(()),
-            Ruling::Refuse(wait) | Ruling::Limit { per_s: 0, wait } => Err(wait),
-            Ruling::Limit { per_s, wait } => {
+            RateDecision::Free => Ok(()),
+            RateDecision::Refuse(wait) | RateDecision::Limit { per_s: 0, wait } => Err(wait),
+            RateDecision::Limit { per_s, wait } => {
                 if self.paid.len() >= MOST {
                     self.paid.retain(|_, paid| *paid > now);
                 }
@@ -46,8 +52,8 @@
 
     #[test]
     fn a_limit_lets_so_many_a_second_through_whatever_the_crowd() {
-        let mut gate = Gate::default();
-        let ruling = Ruling::Limit { per_s: 20, wait: Micros(7) };
+        let mut gate = RateLimiter::default();
+        let ruling = RateDecision::Limit { per_s: 20, wait: Micros(7) };
         let mut let_through = 0;
         for ms in 0..10_000 {
             match gate.ask(Micros(ms * 1_000), 1, 0, ruling) {
@@ -58,8 +64,8 @@
         // Ten seconds' worth, and a second's that may come at once.
         assert!((200..=220).contains(&let_through), "{let_through}");
         assert!(gate.ask(Micros(9_999_000), 2, 0, ruling).is_ok(), "another tenant");
-        assert!(gate.ask(Micros(0), 1, 0, Ruling::Free).is_ok());
-        let none = Ruling::Limit { per_s: 0, wait: Micros(9) };
+        assert!(gate.ask(Micros(0), 1, 0, RateDecision::Free).is_ok());
+        let none = RateDecision::Limit { per_s: 0, wait: Micros(9) };
         assert_eq!(gate.ask(Micros(0), 3, 0, none), Err(Micros(9)));
     }
 }
--- a/src/rules/standing.rs
+++ b/src/rules/standing.rs
@@ -11,7 +11,7 @@
 
 /// What a leader tells with its answer to a beat.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Word {
+pub struct RulesUpdate {
     /// The number in force; 0: none.
     pub force: u64,
     /// The number that is announced; 0: none.
@@ -33,7 +33,7 @@
 
 /// What a request of a tenant and a class is held to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ruling {
+pub enum RateDecision {
     /// Nothing.
     Free,
     /// So many a second at this front; what is beyond that is told to wait.
@@ -49,7 +49,7 @@
 
 /// How sure a process is of its rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sure {
+pub enum RulesFreshness {
     /// No rules were ever heard of.
     None,
     /// The version of this number is in force.
@@ -62,7 +62,7 @@
 
 /// One process's rules.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Standing {
+pub struct LocalRules {
     force: Option<Known>,
     accepted: Option<Known>,
     refused: Option<(u64, String)>,
@@ -80,7 +80,7 @@
         .map_err(|findings| findings.to_string())
 }
 
-impl Standing {
+impl LocalRules {
     /// The numbers of the version in force as last told, and of the last that was accepted; 0: none.
     pub fn versions(&self) -> (u64, u64) {
         let number = |known: &Option<Known>| known.as_ref().map_or(0, |k| k.number);
@@ -95,7 +95,7 @@
 
     /// A beat that was sent at a moment is answered. What is announced is accepted in this very step, before
     /// anything is decided under the freshness that the same answer gives.
-    pub fn told(&mut self, sent: BootTime, now: BootTime, word: &Word, drift: Micros) {
+    pub fn told(&mut self, sent: BootTime, now: BootTime, word: &RulesUpdate, drift: Micros) {
         if word.fresh == Micros(0) {
             return;
         }
@@ -131,14 +131,14 @@
     }
 
     /// How sure it is at an instant.
-    pub fn sure(&self, now: BootTime) -> Sure {
+    pub fn sure(&self, now: BootTime) -> RulesFreshness {
         let force = self.versions().0;
         let fresh = self.until.is_some_and(|until| now < until) || mutant::on(Mutant::FreshForGood);
         match (&self.accepted, self.until) {
-            (None, None) if self.force.is_none() => Sure::None,
-            (Some(accepted), Some(_)) if fresh => Sure::Between(force, accepted.number),
-            (None, Some(_)) if fresh => Sure::Fresh(force),
-            _ => Sure::Unsure(force),
+            (None, None) if self.force.is_none() => RulesFreshness::None,
+            (Some(accepted), Some(_)) if fresh => RulesFreshness::Between(force, accepted.number),
+            (None, Some(_)) if fresh => RulesFreshness::Fresh(force),
+            _ => RulesFreshness::Unsure(force),
         }
     }
 
@@ -148,9 +148,9 @@
     }
 
     /// What a request is held to at an instant: by the strictest of all limits that cover it.
-    pub fn ruling(&self, now: BootTime, tenant: &str, class: &str) -> Ruling {
+    pub fn ruling(&self, now: BootTime, tenant: &str, class: &str) -> RateDecision {
         let sure = self.sure(now);
-        let mut ruling = Ruling::Free;
+        let mut ruling = RateDecision::Free;
         for (known, other) in [(&self.force, &self.accepted), (&self.accepted, &self.force)] {
             let Some(known) = known else { continue };
             for limit in known.rules.limit.iter().filter(|l| l.covers(tenant, class)) {
@@ -168,36 +168,36 @@
 
 impl Limit {
     /// What it holds a request to, for a process that is so sure; `other` is the other of two versions.
-    fn ruled(&self, sure: Sure, other: Option<&Rules>) -> Ruling {
+    fn ruled(&self, sure: RulesFreshness, other: Option<&Rules>) -> RateDecision {
         let wait = self.wait();
-        let limit = Ruling::Limit { per_s: self.most_per_s, wait };
+        let limit = RateDecision::Limit { per_s: self.most_per_s, wait };
         match sure {
-            Sure::None | Sure::Fresh(_) => limit,
-            Sure::Between(..) => {
+            RulesFreshness::None | RulesFreshness::Fresh(_) => limit,
+            RulesFreshness::Between(..) => {
                 let same = other.and_then(|rules| rules.limit.iter().find(|l| l.of() == self.of()));
                 let exact = self.never_two || same.is_some_and(|l| l.never_two);
                 let kept =
                     same.is_some_and(|l| (l.most_per_s, l.never_two) == (self.most_per_s, self.never_two));
-                if exact && !kept { Ruling::Refuse(wait) } else { limit }
+                if exact && !kept { RateDecision::Refuse(wait) } else { limit }
             }
-            Sure::Unsure(_) if self.never_two => Ruling::Refuse(wait),
-            Sure::Unsure(_) => match self.when_unsure {
+            RulesFreshness::Unsure(_) if self.never_two => RateDecision::Refuse(wait),
+            RulesFreshness::Unsure(_) => match self.when_unsure {
                 WhenUnsure::Keep => limit,
-                WhenUnsure::Strictest => Ruling::Limit { per_s: self.least_per_s, wait },
-                WhenUnsure::Refuse => Ruling::Refuse(wait),
+                WhenUnsure::Strictest => RateDecision::Limit { per_s: self.least_per_s, wait },
+                WhenUnsure::Refuse => RateDecision::Refuse(wait),
             },
         }
     }
 }
 
-impl Ruling {
+impl RateDecision {
     /// The stricter of two.
-    pub fn stricter(self, other: Ruling) -> Ruling {
+    pub fn stricter(self, other: RateDecision) -> RateDecision {
         match (self, other) {
-            (Ruling::Free, only) | (only, Ruling::Free) => only,
-            (Ruling::Refuse(a), Ruling::Refuse(b)) => Ruling::Refuse(a.max(b)),
-            (refuse @ Ruling::Refuse(_), _) | (_, refuse @ Ruling::Refuse(_)) => refuse,
-            (Ruling::Limit { per_s: a, .. }, Ruling::Limit { per_s: b, .. }) => {
+            (RateDecision::Free, only) | (only, RateDecision::Free) => only,
+            (RateDecision::Refuse(a), RateDecision::Refuse(b)) => RateDecision::Refuse(a.max(b)),
+            (refuse @ RateDecision::Refuse(_), _) | (_, refuse @ RateDecision::Refuse(_)) => refuse,
+            (RateDecision::Limit { per_s: a, .. }, RateDecision::Limit { per_s: b, .. }) => {
                 if b < a {
                     other
                 } else {
--- a/src/rules/version.rs
+++ b/src/rules/version.rs
@@ -107,7 +107,7 @@
 
 /// The log's part that tells of rules.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ruled {
+pub struct RulesLog {
     /// The version in force.
     pub force: Option<Version>,
     /// The next one, which all are to accept first.
@@ -118,7 +118,7 @@
     pub past: VecDeque<Past>,
 }
 
-impl Ruled {
+impl RulesLog {
     /// The number in force; 0: none is.
     pub fn force(&self) -> u64 {
         self.force.as_ref().map_or(0, |v| v.number)
@@ -178,7 +178,7 @@
 
     #[test]
     fn of_two_on_one_parent_one_is_announced() {
-        let mut ruled = Ruled::default();
+        let mut ruled = RulesLog::default();
         assert!(ruled.announce(&version(1, 0)));
         assert!(!ruled.announce(&version(2, 0)), "one at a time");
         assert!(ruled.enforce(1) && !ruled.enforce(1));
--- a/tests/quorum.rs
+++ b/tests/quorum.rs
@@ -16,7 +16,7 @@
 use amberspindle::quorum::{
     BootTime, Duty, Incarnation, Input, Machine, Name, Out, QuorumConfig, Voter, VoterId,
 };
-use amberspindle::rules::standing::{Ruling, Standing, Sure};
+use amberspindle::rules::standing::{LocalRules, RateDecision, RulesFreshness};
 use amberspindle::rules::version::{Proposal, ProposeError};
 
 const VOTERS: u64 = 3;
@@ -68,7 +68,7 @@
     travels: VecDeque<Travels>,
     runs: u64,
     /// What each acts on.
-    rules: BTreeMap<u64, Standing>,
+    rules: BTreeMap<u64, LocalRules>,
     /// What the module of each was told last.
     fronts: BTreeMap<u64, FleetPosition>,
     events: Vec<(u64, Event)>,
@@ -141,8 +141,8 @@
     }
 
     /// What each is held to now.
-    fn held(&self) -> BTreeMap<u64, (Sure, Ruling)> {
-        let of = |(n, s): (&u64, &Standing)| (*n, (s.sure(self.now), s.ruling(self.now, "", "")));
+    fn held(&self) -> BTreeMap<u64, (RulesFreshness, RateDecision)> {
+        let of = |(n, s): (&u64, &LocalRules)| (*n, (s.sure(self.now), s.ruling(self.now, "", "")));
         self.rules.iter().map(of).collect()
     }
 
@@ -495,11 +495,11 @@
     assert_eq!(world.fronts[&5].count, 4, "nobody can agree on anything else");
 }
 
-fn per_s(held: &BTreeMap<u64, (Sure, Ruling)>) -> Vec<u32> {
-    let of = |(_, ruling): &(Sure, Ruling)| match ruling {
-        Ruling::Limit { per_s, .. } => *per_s,
-        Ruling::Free => u32::MAX,
-        Ruling::Refuse(_) => 0,
+fn per_s(held: &BTreeMap<u64, (RulesFreshness, RateDecision)>) -> Vec<u32> {
+    let of = |(_, ruling): &(RulesFreshness, RateDecision)| match ruling {
+        RateDecision::Limit { per_s, .. } => *per_s,
+        RateDecision::Free => u32::MAX,
+        RateDecision::Refuse(_) => 0,
     };
     held.values().map(of).collect()
 }
@@ -519,7 +519,7 @@
     assert_eq!(world.propose(20), Ok(2));
     let mut tighter = None;
     let mut overlap = 0;
-    while world.held()[&5].0 != Sure::Unsure(1) {
+    while world.held()[&5].0 != RulesFreshness::Unsure(1) {
         world.pass(10_000);
         let held = per_s(&world.held());
         if held[0] == 20 {
--- a/trials/src/measure/log.rs
+++ b/trials/src/measure/log.rs
@@ -12,8 +12,8 @@
 use amberspindle::quorum::journal::{self, Frame};
 use amberspindle::quorum::store::{State, Store};
 use amberspindle::quorum::{BootTime, Duty, Epoch, Incarnation, Name, Process, Reign, VoterId};
-use amberspindle::rules::gate::Gate;
-use amberspindle::rules::standing::{Standing, Word};
+use amberspindle::rules::gate::RateLimiter;
+use amberspindle::rules::standing::{LocalRules, RulesUpdate};
 use amberspindle::rules::version::Version;
 
 struct Voter {
@@ -192,11 +192,16 @@
         let one = |n: u32| format!("[[limit]]\ntenant = \"tenant-{n}\"\nmost_per_s = {}\n", 1_000 + n);
         let text: String = (0..limits).map(one).collect();
         let version = Version { number: 1, digest: Version::digest_of(&text), text, ..Version::default() };
-        let word =
-            Word { force: 1, last: 1, versions: vec![version], fresh: Micros(1 << 40), ..Word::default() };
-        let mut standing = Standing::default();
+        let word = RulesUpdate {
+            force: 1,
+            last: 1,
+            versions: vec![version],
+            fresh: Micros(1 << 40),
+            ..RulesUpdate::default()
+        };
+        let mut standing = LocalRules::default();
         standing.told(BootTime(1), BootTime(2), &word, Micros(0));
-        let (mut gate, times) = (Gate::default(), 1_000_000u64);
+        let (mut gate, times) = (RateLimiter::default(), 1_000_000u64);
         let begun = Instant::now();
         for n in 0..times {
             let ruling = standing.ruling(BootTime(3 + n), "tenant-7", "clip");
