--- a/src/disk.rs
+++ b/src/disk.rs
@@ -210,10 +210,10 @@
 
     /// Adds bytes.
     pub fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        if faults::there("disk-full") {
+        if faults::injected("disk-full") {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        if faults::there("lose-unsynced") {
+        if faults::injected("lose-unsynced") {
             self.unsynced.extend_from_slice(bytes);
             return Ok(());
         }
@@ -222,10 +222,10 @@
 
     /// Waits until what was added would survive a crash. After an error nobody can say what would.
     pub fn sync(&mut self) -> io::Result<()> {
-        if let Some(ms) = faults::figure("sync-ms") {
+        if let Some(ms) = faults::injected_value("sync-ms") {
             std::thread::sleep(std::time::Duration::from_millis(ms as u64));
         }
-        if faults::there("sync-fails") {
+        if faults::injected("sync-fails") {
             return Err(io::Error::other("sync failed"));
         }
         if !self.unsynced.is_empty() {
@@ -236,7 +236,7 @@
 
     /// Puts a new content in place of all, at once.
     pub fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
-        if faults::there("disk-full") {
+        if faults::injected("disk-full") {
             return Err(io::ErrorKind::StorageFull.into());
         }
         self.unsynced.clear();
--- a/src/faults.rs
+++ b/src/faults.rs
@@ -6,7 +6,7 @@
 //! file is.
 
 #[cfg(feature = "trials")]
-mod there {
+mod injected {
     use std::path::PathBuf;
     use std::sync::OnceLock;
 
@@ -20,12 +20,12 @@
     }
 
     /// Whether a fault is there.
-    pub fn there(name: &str) -> bool {
+    pub fn injected(name: &str) -> bool {
         folder().is_some_and(|folder| folder.join(name).exists())
     }
 
     /// The figure that a fault's file holds.
-    pub fn figure(name: &str) -> Option<f64> {
+    pub fn injected_value(name: &str) -> Option<f64> {
         text(name)?.trim().parse().ok()
     }
 
@@ -48,16 +48,16 @@
 }
 
 #[cfg(not(feature = "trials"))]
-mod there {
+mod injected {
     /// Whether a fault is there: never.
     #[inline(always)]
-    pub fn there(_: &str) -> bool {
+    pub fn injected(_: &str) -> bool {
         false
     }
 
     /// The figure that a fault's file holds: none.
     #[inline(always)]
-    pub fn figure(_: &str) -> Option<f64> {
+    pub fn injected_value(_: &str) -> Option<f64> {
         None
     }
 
@@ -66,4 +66,4 @@
     pub fn stop_at(_: &str) {}
 }
 
-pub use there::{figure, stop_at, there};
+pub use injected::{injected, injected_value, stop_at};
--- a/src/net/quorum.rs
+++ b/src/net/quorum.rs
@@ -51,7 +51,7 @@
 pub fn boot_now() -> BootTime {
     let now = real_now();
     // A trial may have this process's clock run too fast or too slow.
-    let rate = faults::figure("clock-rate").unwrap_or(1.0);
+    let rate = faults::injected_value("clock-rate").unwrap_or(1.0);
     BootTime(if rate == 1.0 { now } else { (now as f64 * rate) as u64 })
 }
 
@@ -132,7 +132,7 @@
         }
         Event::Acts(duty, epoch, look) => {
             // The look that allowed it, on the clock as the system has it.
-            let at = (look.0 as f64 / faults::figure("clock-rate").unwrap_or(1.0)) as u64;
+            let at = (look.0 as f64 / faults::injected_value("clock-rate").unwrap_or(1.0)) as u64;
             info!(event = "duty.acts", duty = duty.0.as_str(), epoch = epoch.0, at);
         }
         Event::Changed(index, change) => changed(*index, change),
@@ -292,7 +292,7 @@
 
     /// What the broker counts.
     pub fn count(self: &Rc<Self>, counts: Counts) {
-        if faults::there("tell-counts") {
+        if faults::injected("tell-counts") {
             self.tell_counts();
         }
         self.step(Input::Counts(counts));
--- a/src/node/ruled.rs
+++ b/src/node/ruled.rs
@@ -85,7 +85,7 @@
         let ruling = ruled.standing.ruling(ruled.boot, tenant, class);
         if cfg!(feature = "trials") {
             // By the clock that all processes of a trial share.
-            let at = (ruled.boot.0 as f64 / faults::figure("clock-rate").unwrap_or(1.0)) as u64;
+            let at = (ruled.boot.0 as f64 / faults::injected_value("clock-rate").unwrap_or(1.0)) as u64;
             let held = |state: &str, version: u64| {
                 let per_s = match ruling {
                     RateDecision::Free => "free".to_owned(),
