--- a/src/net/console.rs
+++ b/src/net/console.rs
@@ -16,7 +16,7 @@
 use super::reading::{code, within};
 use super::room::ROOM;
 use super::{Handle, micros, step};
-use crate::operate::console::{BadCall, Call, CallerId, Callers, Line, PATIENCE};
+use crate::operate::console::{BadCall, CALL_TIMEOUT, Call, CallerId, Callers, Line};
 
 /// Time between looks for a descriptor that is free again.
 const LOOK: Duration = Duration::from_millis(5);
@@ -56,7 +56,7 @@
         Err(BadCall::NoRoom)
     };
     let too_late = async {
-        Timer::after(micros(PATIENCE)).await;
+        Timer::after(micros(CALL_TIMEOUT)).await;
         Err(BadCall::TooLate)
     };
     let call = future::or(call(&shared, &stream), future::or(no_room, too_late)).await;
--- a/src/operate/console.rs
+++ b/src/operate/console.rs
@@ -8,7 +8,7 @@
 /// The longest line that is read; calls are a word each.
 const LONGEST: usize = 256;
 /// A caller that has not completed its call after this is let go. Some take 4 s without completing one.
-pub const PATIENCE: Micros = Micros(10_000_000);
+pub const CALL_TIMEOUT: Micros = Micros(10_000_000);
 
 /// What staff call for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/operate/handover/heir.rs
+++ b/src/operate/handover/heir.rs
@@ -7,7 +7,7 @@
 
 /// An old process that says nothing for so long is not waited for: the new one serves beside it. Progress alone
 /// rests on this.
-pub const PATIENCE: Micros = Micros(2_000_000);
+pub const PREDECESSOR_TIMEOUT: Micros = Micros(2_000_000);
 /// The end of a session that was heard before the session was passed is remembered for so long.
 const LEFT_KEPT: Micros = Micros(30_000_000);
 
@@ -61,7 +61,7 @@
     /// One that has not asked yet, of a process that started then and holds so many sessions at most.
     pub fn new(now: Micros, started: u64, most_left: usize) -> Successor {
         let (serves, meets, turns, linked, again) = (false, false, false, false, false);
-        let (until, left, left_order) = (now + PATIENCE, BTreeMap::new(), VecDeque::new());
+        let (until, left, left_order) = (now + PREDECESSOR_TIMEOUT, BTreeMap::new(), VecDeque::new());
         Successor { started, until, serves, meets, turns, linked, again, left, left_order, most_left }
     }
 
--- a/src/operate/handover/heir/tests.rs
+++ b/src/operate/handover/heir/tests.rs
@@ -17,7 +17,7 @@
     let (mut heir, mut out) = linked();
     heir.heard(Message::Yielded, &mut out);
     heir.ended(&mut out);
-    heir.tick(Micros(1) + PATIENCE, &mut out);
+    heir.tick(Micros(1) + PREDECESSOR_TIMEOUT, &mut out);
     assert_eq!(out, [Action::TakeTurns, Action::Meet, Action::Serve], "once each, the turns first");
 }
 
@@ -28,7 +28,7 @@
     for silent in [Message::Other, Message::Unknown] {
         let (mut heir, mut out) = linked();
         heir.heard(silent, &mut out);
-        heir.tick(Micros(1) + PATIENCE, &mut out);
+        heir.tick(Micros(1) + PREDECESSOR_TIMEOUT, &mut out);
         assert_eq!(out, [Action::Serve, Action::Meet]);
         out.clear();
         heir.tick(Micros(3_600_000_000), &mut out);
@@ -46,7 +46,7 @@
     heir.heard(Message::Busy, &mut out);
     assert_eq!(out, [Action::AskAgain]);
     out.clear();
-    heir.tick(Micros(1) + PATIENCE, &mut out);
+    heir.tick(Micros(1) + PREDECESSOR_TIMEOUT, &mut out);
     assert_eq!(out, [Action::Serve], "it would meet itself");
     out.clear();
     heir.linked(&mut out);
@@ -63,7 +63,7 @@
     heir.heard(Message::Newer, &mut out);
     assert_eq!(out, [Action::Leave]);
     let (mut heir, mut out) = linked();
-    heir.tick(Micros(1) + PATIENCE, &mut out);
+    heir.tick(Micros(1) + PREDECESSOR_TIMEOUT, &mut out);
     out.clear();
     heir.heard(Message::Newer, &mut out);
     assert_eq!(out, []);
