--- a/tests/attempt_ends.rs
+++ b/tests/attempt_ends.rs
@@ -109,7 +109,7 @@
     let mut slow = SlowReader::accepted(&listener);
     let begun = Instant::now();
     while slow.begun.is_empty() {
-        assert!(begun.elapsed() < PATIENCE, "no set-up came");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "no set-up came");
         slow.drain();
     }
     let filler = "x".repeat(FILLER_BYTES);
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -8,15 +8,15 @@
 use support::crossing::*;
 use support::*;
 
-const LONG: f64 = 20_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 20_000.0;
 
 fn class(name: &str, paid: bool) -> Value {
     let effect = if paid { "non_idempotent" } else { "read_like" };
-    json!({"Name": name, "Slo": 900.0, "Deadline": LONG, "Effect": effect})
+    json!({"Name": name, "Slo": 900.0, "Deadline": UNREACHED_DEADLINE_MS, "Effect": effect})
 }
 
 fn settings_of(classes: &[Value], tenants: &[&str]) -> Value {
-    let mut settings = roomy(LONG);
+    let mut settings = roomy(UNREACHED_DEADLINE_MS);
     settings["RequestClasses"] = json!(classes);
     settings["Tenants"] = tenants.iter().map(|name| json!({"Name": name})).collect();
     settings
@@ -24,7 +24,7 @@
 
 fn started(edge: &Edge, settings: &Value) -> Program {
     let more = json!({"console": "127.0.0.1:0", "settings": settings});
-    Program::platform_more(&[edge], LONG, &more, &["viewer", "console"])
+    Program::platform_more(&[edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"])
 }
 
 fn ask_as(stream: &mut TcpStream, id: u64, class: &str, tenant: Option<&str>) -> Value {
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -10,12 +10,12 @@
 use support::crossing::*;
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 const CONSOLE: &str = "127.0.0.1:0";
 
 fn started(edges: &[&Edge]) -> Program {
-    let more = json!({"console": CONSOLE, "settings": roomy(LONG)});
-    Program::platform_more(edges, LONG, &more, &["viewer", "console"])
+    let more = json!({"console": CONSOLE, "settings": roomy(UNREACHED_DEADLINE_MS)});
+    Program::platform_more(edges, UNREACHED_DEADLINE_MS, &more, &["viewer", "console"])
 }
 
 /// A session plays at each server, so that a connection to each is up. The clients stay as long as what is given.
@@ -153,8 +153,8 @@
         let clogged = Clogged::new();
         let edge = Edge::start(Manner::Answers);
         let known = known_of(&event(1, true, &[("s-0", clogged.address(), 0, "in_service")]));
-        let more = json!({"console": CONSOLE, "known": known, "settings": roomy(LONG)});
-        let program = Program::platform_more(&[&edge], LONG, &more, &["viewer", "console"]);
+        let more = json!({"console": CONSOLE, "known": known, "settings": roomy(UNREACHED_DEADLINE_MS)});
+        let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
         let mut client = program.connect("viewer");
         let other = program.connect("viewer");
         ask_for(&mut client, 1, "paid", 50_000, "gone");
--- a/tests/derived.rs
+++ b/tests/derived.rs
@@ -13,7 +13,7 @@
 use support::crossing::*;
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 /// Sessions on one connection: their ends take more bytes than one connection could keep waiting before.
 const MANY: u64 = 5_000;
 
@@ -31,9 +31,9 @@
 fn started(first: &Edge, second: &Edge) -> (Program, Notices) {
     let board = Notices::start();
     let both = [("s-0", first.address, 0, "in_service"), ("s-1", second.address, 1, "in_service")];
-    let more = json!({"console": "127.0.0.1:0", "settings": roomy(LONG), "known": known_of(&event(1, true, &both)),
+    let more = json!({"console": "127.0.0.1:0", "settings": roomy(UNREACHED_DEADLINE_MS), "known": known_of(&event(1, true, &both)),
         "board": board.address.to_string()});
-    let program = Program::platform_more(&[], LONG, &more, &["viewer", "console"]);
+    let program = Program::platform_more(&[], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     board.nth_asked(1);
     (program, board)
 }
@@ -98,7 +98,7 @@
     sockopt::set_socket_recv_buffer_size(&client, 4096).unwrap();
     connect(&client, &at).unwrap();
     let client = TcpStream::from(client);
-    client.set_read_timeout(Some(PATIENCE)).unwrap();
+    client.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     client
 }
 
@@ -123,8 +123,8 @@
 fn a_herd_that_waits_to_be_accepted_at_the_end_is_answered_as_room_comes() {
     let edge = Edge::start(Manner::Silent);
     let limits = json!({"sockets": 64, "memory_mb": 192});
-    let more = json!({"console": "127.0.0.1:0", "settings": roomy(LONG), "limits": limits});
-    let program = Program::platform_more(&[&edge], LONG, &more, &["viewer", "console"]);
+    let more = json!({"console": "127.0.0.1:0", "settings": roomy(UNREACHED_DEADLINE_MS), "limits": limits});
+    let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     let come = |ids: std::ops::RangeInclusive<u64>| -> Vec<(u64, TcpStream)> {
         let ask = |id| {
             let mut client = program.connect("viewer");
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -14,7 +14,7 @@
 use support::crossing::*;
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 const LIMIT: usize = 64;
 
 /// The same command with a lower limit on descriptors.
@@ -38,7 +38,7 @@
 }
 
 fn config_of(known: serde_json::Value, board: SocketAddr) -> serde_json::Value {
-    let mut settings = roomy(LONG);
+    let mut settings = roomy(UNREACHED_DEADLINE_MS);
     settings["FamilyInfo"]["Places"] = json!(64);
     json!({"name": "n1", "listen": "127.0.0.1:0", "console": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
         "settings": settings, "known": known, "board": board.to_string()})
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -9,13 +9,13 @@
 use support::crossing::*;
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
 fn started(edges: &[&Edge], servers: &[(&str, SocketAddr, u32, &str)], board: &Notices) -> Program {
-    let settings = roomy(LONG);
+    let settings = roomy(UNREACHED_DEADLINE_MS);
     let more = json!({"console": "127.0.0.1:0", "settings": settings, "board": board.address.to_string(),
         "known": known_of(&event(1, true, servers))});
-    let program = Program::platform_more(edges, LONG, &more, &["viewer", "console"]);
+    let program = Program::platform_more(edges, UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     assert_eq!(board.nth_asked(1), 1);
     program
 }
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -8,7 +8,7 @@
 use support::*;
 
 const OFFER: &str = "v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\nm=video 9 UDP/TLS/RTP/SAVPF 96\r\n";
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 const BOOKING: &str = "/whip/walk/bookings/b-1";
 
 /// A broker before these servers, one a cell; titles `walk` (paid) and `guide`.
@@ -31,7 +31,7 @@
 fn a_session_is_set_up_and_ended_at_a_media_server() {
     let media = Media::start(Does::Answers);
     let ice = "[[whip.ice_server]]\nurl = \"stun:stun.example.net\"\n[[whip.ice_server]]\nurl = \"turn:turn.example.net\"\nusername = \"u\"\ncredential = \"c\"";
-    let program = broker(&[&media], LONG, ice);
+    let program = broker(&[&media], UNREACHED_DEADLINE_MS, ice);
     let made = ask(&program, "POST", "/whep/guide", Some(OFFER));
     assert_eq!((made.status, made.body.as_str()), (201, media_answer(0).as_str()));
     let links: Vec<&str> = made.head.lines().filter_map(|l| l.strip_prefix("Link: ")).collect();
@@ -107,7 +107,7 @@
 #[test]
 fn a_late_session_is_ended_and_its_end_repeated_until_heard() {
     let media = Media::start(Does::Waits);
-    let program = broker(&[&media], LONG, "");
+    let program = broker(&[&media], UNREACHED_DEADLINE_MS, "");
     let mut stream = program.connect("http");
     stream.write_all(&http("POST", "/whep/guide", Some(OFFER))).unwrap();
     media.until("a session", |s| s.sessions.get("/made/0").copied());
@@ -123,7 +123,7 @@
 #[test]
 fn a_delete_of_a_booking_ends_it_whatever_its_step() {
     let media = Media::start(Does::Waits);
-    let program = broker(&[&media], LONG, "");
+    let program = broker(&[&media], UNREACHED_DEADLINE_MS, "");
     let mut stream = program.connect("http");
     stream.write_all(&http("POST", BOOKING, Some(OFFER))).unwrap();
     media.until("a session", |s| s.sessions.get("/made/0").copied());
@@ -143,7 +143,7 @@
 #[test]
 fn a_second_answer_is_not_taken_for_that_of_another() {
     let media = Media::start(Does::Twice);
-    let program = broker(&[&media], LONG, "");
+    let program = broker(&[&media], UNREACHED_DEADLINE_MS, "");
     for n in 0..5 {
         let made = ask(&program, "POST", "/whep/guide", Some(OFFER));
         assert_eq!((made.status, made.body.as_str()), (201, media_answer(n).as_str()));
@@ -154,7 +154,7 @@
 #[test]
 fn fragments_are_passed_on_under_the_conditions_of_the_standard() {
     let media = Media::start(Does::Answers);
-    let program = broker(&[&media], LONG, "");
+    let program = broker(&[&media], UNREACHED_DEADLINE_MS, "");
     let made = ask(&program, "POST", "/whep/guide", Some(OFFER));
     let (place, tag) = (place(&made), made.header("etag").unwrap().to_owned());
     assert_eq!(made.header("accept-patch"), Some("application/trickle-ice-sdpfrag"));
@@ -191,7 +191,7 @@
 #[test]
 fn sessions_are_ended_at_their_servers_when_the_broker_stops() {
     let media = Media::start(Does::Answers);
-    let program = broker(&[&media], LONG, "");
+    let program = broker(&[&media], UNREACHED_DEADLINE_MS, "");
     let places: Vec<String> =
         (0..3).map(|_| place(&ask(&program, "POST", "/whep/guide", Some(OFFER)))).collect();
     program.terminate();
@@ -209,7 +209,7 @@
 #[test]
 fn a_session_plays_on_without_those_who_patched_it_or_listened() {
     let media = Media::start(Does::Answers);
-    let program = broker(&[&media], LONG, "");
+    let program = broker(&[&media], UNREACHED_DEADLINE_MS, "");
     let made = ask(&program, "POST", "/whep/guide", Some(OFFER));
     let place = place(&made);
     let mut stream = program.connect("http");
@@ -229,7 +229,7 @@
 #[test]
 fn what_happens_to_a_session_is_told_as_events() {
     let media = Media::start(Does::Answers);
-    let program = broker(&[&media], LONG, "");
+    let program = broker(&[&media], UNREACHED_DEADLINE_MS, "");
     let made = ask(&program, "POST", "/whep/guide", Some(OFFER));
     let place = place(&made);
     let link = made.head.lines().find(|l| l.contains("server-sent-events")).expect("a link to the events");
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
 fn vars(program: &Program) -> BTreeMap<String, u64> {
     let text = program.call("vars\n");
@@ -83,7 +83,7 @@
 fn a_request_that_is_withdrawn_counts_as_none_and_its_attempt_counts() {
     let edge = Edge::start(Manner::Silent);
     let more = json!({"console": "127.0.0.1:0"});
-    let program = Program::platform_more(&[&edge], LONG, &more, &["viewer", "console"]);
+    let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     let mut stream = program.connect("viewer");
     ask_for(&mut stream, 1, "paid", 50_000, "paid");
     edge.nth_set_up(1);
--- a/tests/floods.rs
+++ b/tests/floods.rs
@@ -12,7 +12,7 @@
 use support::crossing::*;
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
 fn started(edges: &[&Edge], deadline: f64) -> Program {
     let settings = roomy(deadline);
@@ -37,7 +37,7 @@
 #[test]
 fn a_client_that_sends_without_reading_is_let_go_and_costs_the_others_nothing() {
     let edge = Edge::start(Manner::Answers);
-    let program = started(&[&edge], LONG);
+    let program = started(&[&edge], UNREACHED_DEADLINE_MS);
     let mut flood = program.connect("viewer");
     flood.set_write_timeout(Some(Duration::from_millis(500))).unwrap();
     let many = ping().repeat(2000);
@@ -54,7 +54,7 @@
 #[test]
 fn a_thousand_connections_at_once_keep_nobody_out() {
     let edge = Edge::start(Manner::Answers);
-    let program = started(&[&edge], LONG);
+    let program = started(&[&edge], UNREACHED_DEADLINE_MS);
     let mut early = program.connect("viewer");
     ask_for(&mut early, 1, "clip", 50_000, "early");
     assert_eq!(final_answer(&mut early, 1).unwrap()["type"], "answer");
@@ -78,7 +78,7 @@
 #[test]
 fn a_request_that_comes_a_byte_at_a_time_is_given_up_and_others_are_served() {
     let edge = Edge::start(Manner::Answers);
-    let program = started(&[&edge], LONG);
+    let program = started(&[&edge], UNREACHED_DEADLINE_MS);
     let mut slow = program.connect("viewer");
     let dripping = std::thread::spawn(move || {
         for byte in b"{\"type\":\"setup\",\"id\":\"00000000000000ff\",\"fields\":{}".iter().cycle() {
@@ -149,7 +149,7 @@
 #[test]
 fn what_cannot_be_read_ends_its_connection_with_one_line_of_its_code() {
     let edge = Edge::start(Manner::Answers);
-    let program = started(&[&edge], LONG);
+    let program = started(&[&edge], UNREACHED_DEADLINE_MS);
     for (spoilt, code) in [
         ("{\"type\":\"setup\"\n".to_owned(), "bad-json"),
         ("{\"type\":\"dance\",\"id\":\"00000000000000ff\",\"fields\":{}}\n".to_owned(), "unknown-type"),
--- a/tests/half_written.rs
+++ b/tests/half_written.rs
@@ -14,7 +14,7 @@
 use support::crossing::*;
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 /// Bytes of an offer: the longest message is 16 KB.
 const OFFER: usize = 14_000;
 /// What the server's machine takes unread, about.
@@ -135,15 +135,15 @@
         true,
         &[("s-0", deaf.address(), 0, "in_service"), ("s-1", other.address, 1, "in_service")],
     ));
-    let mut settings = roomy(LONG);
+    let mut settings = roomy(UNREACHED_DEADLINE_MS);
     settings["FamilyInfo"]["PlacesByKind"] = json!([1000]);
     let more = json!({"console": "127.0.0.1:0", "known": known, "settings": settings});
-    let program = Program::platform_more(&[&other], LONG, &more, &["viewer", "console"]);
+    let program = Program::platform_more(&[&other], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     let (mut stays, mut leaves) = (program.connect("viewer"), program.connect("viewer"));
     leaves.set_nodelay(true).unwrap();
     ask_at_the_deaf(&mut stays, 1, class);
     let (mut server, _) = deaf.listener.accept().unwrap();
-    server.set_read_timeout(Some(PATIENCE)).unwrap();
+    server.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     program.settle();
     let mut id = 1;
     let mut ask_more = || {
--- a/tests/letting_go.rs
+++ b/tests/letting_go.rs
@@ -9,7 +9,7 @@
 use support::crossing::*;
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
 fn test(stream: &mut TcpStream) {
     stream.write_all(ping().as_bytes()).unwrap();
@@ -25,7 +25,7 @@
 #[test]
 fn a_request_that_came_before_an_idle_connection_was_closed_is_answered() {
     let edge = Edge::start(Manner::Answers);
-    let program = Program::platform(&[&edge], LONG);
+    let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     for (id, spoke) in [(1, true), (2, false)] {
         let mut client = program.connect("viewer");
         if spoke {
@@ -45,7 +45,7 @@
 fn a_request_that_came_before_its_connection_made_room_is_answered() {
     let edge = Edge::start(Manner::Answers);
     let more = json!({"limits": {"sockets": 32}, "console": "127.0.0.1:0"});
-    let program = Program::platform_more(&[&edge], LONG, &more, &["viewer", "console"]);
+    let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     let mut clients: Vec<TcpStream> = (0..9).map(|_| program.connect("viewer")).collect();
     for client in &mut clients {
         test(client);
@@ -63,7 +63,7 @@
 #[test]
 fn a_session_whose_client_went_before_its_answer_is_released() {
     let edge = Edge::start(Manner::Answers);
-    let program = Program::platform(&[&edge], LONG);
+    let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut client = program.connect("viewer");
     edge.behave(Manner::Silent);
     ask_for(&mut client, 1, "paid", 50_000, "gone");
--- a/tests/lost_ends.rs
+++ b/tests/lost_ends.rs
@@ -12,7 +12,7 @@
 use support::crossing::*;
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 /// The session of the client that stays.
 const STAYS: u64 = 100;
 /// So many times both come at once, one after the other.
@@ -30,7 +30,7 @@
 #[test]
 fn an_end_that_crosses_its_clients_close_is_told_on_another_connection() {
     let edge = Edge::start(Manner::Answers);
-    let program = Program::platform(&[&edge], LONG);
+    let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut stays = program.connect("viewer");
     ask_for(&mut stays, STAYS, "paid", 50_000, "stays");
     assert_eq!(final_answer(&mut stays, STAYS).expect("no answer")["type"], "answer");
--- a/tests/operate.rs
+++ b/tests/operate.rs
@@ -9,11 +9,16 @@
 use serde_json::{Value, json};
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
 /// A program with a console, and what its environment adds.
 fn start(edges: &[&Edge]) -> Program {
-    Program::platform_more(edges, LONG, &json!({"console": "127.0.0.1:0"}), &["viewer", "console"])
+    Program::platform_more(
+        edges,
+        UNREACHED_DEADLINE_MS,
+        &json!({"console": "127.0.0.1:0"}),
+        &["viewer", "console"],
+    )
 }
 
 fn ping(program: &Program) -> Value {
@@ -168,8 +173,8 @@
 #[test]
 fn a_drain_lets_a_connection_go_that_is_never_quiet() {
     let edge = Edge::start(Manner::Answers);
-    let more = json!({"console": "127.0.0.1:0", "settings": settings(LONG)});
-    let program = Program::platform_more(&[&edge], LONG, &more, &["viewer", "console"]);
+    let more = json!({"console": "127.0.0.1:0", "settings": settings(UNREACHED_DEADLINE_MS)});
+    let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     let asking = askers::Manner {
         class: "clip",
         deadline_ms: 2_000,
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
 struct Viewer {
     stream: TcpStream,
@@ -58,7 +58,7 @@
         let log = program.log.0.lock().unwrap();
         log.iter().filter_map(|line| Record::read(line)).map(|r| r.event.name()).collect()
     };
-    let program = Program::platform_with(&[&edge], LONG, &["--trace", "100"]);
+    let program = Program::platform_with(&[&edge], UNREACHED_DEADLINE_MS, &["--trace", "100"]);
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "paid", "");
     assert_eq!(viewer.hear().unwrap()["type"], "answer");
@@ -76,7 +76,7 @@
     ];
     assert_eq!(told(&program), steps);
 
-    let program = Program::platform(&[&edge], LONG);
+    let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "paid", "");
     assert_eq!(viewer.hear().unwrap()["type"], "answer");
@@ -94,7 +94,7 @@
 #[test]
 fn a_session_stands_plays_and_ends() {
     let edge = Edge::start(Manner::Answers);
-    let program = Program::platform(&[&edge], LONG);
+    let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut viewer = Viewer::new(&program);
     viewer.say(json!({"type": "ping", "id": B, "fields": {}, "cause": 0}));
     assert_eq!(viewer.hear().unwrap(), json!({"type": "pong", "id": B, "fields": {}, "cause": 1}));
@@ -113,7 +113,7 @@
 #[test]
 fn a_session_handed_over_is_attended_and_its_end_passed_on() {
     let edge = Edge::start(Manner::Answers);
-    let program = Program::platform(&[&edge], LONG);
+    let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "clip", ";at:s-0");
     // The broker opens a connection for the server's news; a set-up shows that it is up.
@@ -128,7 +128,7 @@
 #[test]
 fn refusals_and_failures_have_their_causes() {
     let edge = Edge::start(Manner::Fails);
-    let program = Program::platform(&[&edge], LONG);
+    let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "paid", "");
     assert_eq!(viewer.hear().unwrap()["cause"], 47, "it may have run");
@@ -141,7 +141,7 @@
 
 #[test]
 fn a_connection_that_makes_no_sense_ends_with_its_code_and_the_process_goes_on() {
-    let program = Program::platform(&[], LONG);
+    let program = Program::platform(&[], UNREACHED_DEADLINE_MS);
     for (bytes, reason) in [
         (&b"hello\n"[..], "bad-json"),
         (b"{\"type\":\"dance\",\"id\":\"9b1f03aa5c7e2d41\"}\n", "unknown-type"),
@@ -164,7 +164,7 @@
 /// Guards against a close that resets the connection and with it what was written before: unread input does.
 #[test]
 fn an_answer_survives_the_close_that_follows_it() {
-    let program = Program::platform(&[], LONG);
+    let program = Program::platform(&[], UNREACHED_DEADLINE_MS);
     let mut viewer = Viewer::new(&program);
     let mut sender = viewer.stream.try_clone().unwrap();
     let ping = json!({"type": "ping", "id": B, "fields": {}}).to_string();
@@ -177,7 +177,7 @@
 #[test]
 fn what_was_taken_is_answered_after_sigterm() {
     let edge = Edge::start(Manner::Silent);
-    let program = Program::platform(&[&edge], LONG);
+    let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "paid", "");
     edge.nth_set_up(1);
@@ -205,7 +205,7 @@
     /// A configuration that names it, with the events of the start.
     fn config(&self, known: &Value) -> String {
         let board = self.0.local_addr().unwrap().to_string();
-        json!({"name": "n1", "listen": "127.0.0.1:0", "board": board, "known": known, "settings": settings(LONG)})
+        json!({"name": "n1", "listen": "127.0.0.1:0", "board": board, "known": known, "settings": settings(UNREACHED_DEADLINE_MS)})
             .to_string()
     }
 
@@ -220,7 +220,7 @@
     /// The next time it is asked: the connection, and the number of the last event that was heard.
     fn asked(&self) -> (TcpStream, u64) {
         let (stream, _) = self.0.accept().unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let lines = BufReader::new(stream.try_clone().unwrap()).lines();
         let head: Vec<String> = lines.map_while(Result::ok).take_while(|l| !l.is_empty()).collect();
         assert!(head[0].starts_with("GET /board/poll "), "{head:?}");
@@ -296,7 +296,7 @@
 fn a_fixed_list_is_taken_in_anew() {
     let (old, new) = (Edge::start(Manner::Answers), Edge::start(Manner::Answers));
     let text = |edge: &Edge| {
-        let settings = toml::to_string(&json!({"settings": settings(LONG)})).unwrap();
+        let settings = toml::to_string(&json!({"settings": settings(UNREACHED_DEADLINE_MS)})).unwrap();
         let address = edge.address;
         format!(
             "[platform]\nlisten = \"127.0.0.1:0\"\n[[server]]\nid = \"s-{}\"\naddress = \"{address}\"\ncell = 0\n{settings}",
@@ -343,7 +343,7 @@
 
 #[test]
 fn a_bad_configuration_ends_with_one_line_that_names_the_field() {
-    let whole = json!({"name": "n", "listen": "127.0.0.1:0", "settings": settings(LONG)});
+    let whole = json!({"name": "n", "listen": "127.0.0.1:0", "settings": settings(UNREACHED_DEADLINE_MS)});
     let with = |path: &str, value: Value| {
         let mut config = whole.clone();
         *config.pointer_mut(path).unwrap() = value;
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -31,7 +31,7 @@
         if passes(&mut program.connect("viewer")) {
             return begun.elapsed();
         }
-        assert!(begun.elapsed() < PATIENCE, "it is never ready");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "it is never ready");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -149,9 +149,11 @@
 }
 
 fn expect(calls: &Receiver<String>, start: &str) {
-    while !calls.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("never called: {start}")).starts_with(start)
-    {
-    }
+    while !calls
+        .recv_timeout(TEST_TIMEOUT)
+        .unwrap_or_else(|_| panic!("never called: {start}"))
+        .starts_with(start)
+    {}
 }
 
 #[test]
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
 fn figure(program: &Program, name: &str) -> u64 {
     let text = program.call("vars\n");
@@ -17,9 +17,13 @@
 }
 
 fn start(edge: &Edge) -> (Program, Value) {
-    let program =
-        Program::platform_more(&[edge], LONG, &json!({"console": "127.0.0.1:0"}), &["viewer", "console"]);
-    let mut file = config(&[edge], LONG);
+    let program = Program::platform_more(
+        &[edge],
+        UNREACHED_DEADLINE_MS,
+        &json!({"console": "127.0.0.1:0"}),
+        &["viewer", "console"],
+    );
+    let mut file = config(&[edge], UNREACHED_DEADLINE_MS);
     file["console"] = json!("127.0.0.1:0");
     (program, file)
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -12,7 +12,7 @@
 use support::crossing::*;
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
 fn started(edge: &Edge, deadline: f64) -> Program {
     let settings = roomy(deadline);
@@ -25,7 +25,7 @@
 #[test]
 fn connections_that_wait_to_be_accepted_are_answered() {
     let edge = Edge::start(Manner::Answers);
-    let program = started(&edge, LONG);
+    let program = started(&edge, UNREACHED_DEADLINE_MS);
     program.terminate();
     program.logged("stopping");
     let clients: Vec<TcpStream> = program.while_stopped(|| {
@@ -56,7 +56,7 @@
 
 fn ask_at_the_end(ms: u64) {
     let edge = Edge::start(Manner::Answers);
-    let program = started(&edge, LONG);
+    let program = started(&edge, UNREACHED_DEADLINE_MS);
     let mut client = program.connect("viewer");
     ask_for(&mut client, 1, "paid", 50_000, "plays");
     assert_eq!(final_answer(&mut client, 1).unwrap()["type"], "answer");
@@ -93,7 +93,7 @@
     let mut heard = Vec::new();
     let mut ended = false;
     while !ended {
-        assert!(begun.elapsed() < PATIENCE, "it goes on");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "it goes on");
         let id = asked.len() as u64 + 1;
         let line = json!({"type": "setup", "id": format!("{id:016x}"), "sdp": "o", "fields":
             {"class": "paid", "left": "500", "key": "k", "extras": "home:0;copies:3;top:1"}});
@@ -131,7 +131,7 @@
 fn further_signals_take_nothing_back_and_cost_no_answer() {
     for before in ["", "drain-on\n", "drain-on\ndrain-off\n"] {
         let edge = Edge::start(Manner::Silent);
-        let program = started(&edge, LONG);
+        let program = started(&edge, UNREACHED_DEADLINE_MS);
         let mut client = program.connect("viewer");
         ask_for(&mut client, 1, "paid", 50_000, "open");
         let id = edge.nth_set_up(1);
@@ -157,7 +157,7 @@
 #[test]
 fn half_a_message_holds_nothing_up() {
     let edge = Edge::start(Manner::Answers);
-    let program = started(&edge, LONG);
+    let program = started(&edge, UNREACHED_DEADLINE_MS);
     let mut client = program.connect("viewer");
     client.write_all(b"{\"type\":\"setup\",\"id\":\"00000000000").unwrap();
     program.settle();
@@ -176,7 +176,7 @@
 #[test]
 fn a_process_that_ends_sends_a_cold_server_nothing_more() {
     let edge = Edge::start(Manner::Answers);
-    let mut settings = roomy(LONG);
+    let mut settings = roomy(UNREACHED_DEADLINE_MS);
     // Sixteen set-ups a second are allowed at the start, of which the pace uses seven in ten.
     settings["FamilyInfo"]["PlacesByKind"] = json!([1000]);
     settings["Rules"] = json!({"StopSendingWithin": 500.0, "Cold": 60_000.0, "ColdFrom": 0.4,
@@ -185,7 +185,7 @@
     let mut known = known(&[&edge]);
     known["notices"][0]["pool"]["targets"][0]["boot_ms"] = json!(now.as_millis() as u64);
     let more = json!({"console": "127.0.0.1:0", "settings": settings, "known": known});
-    let program = Program::platform_more(&[&edge], LONG, &more, &["viewer", "console"]);
+    let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     let mut client = program.connect("viewer");
     // It takes its turns.
     let mut id = 0;
--- a/tests/slow_discovery.rs
+++ b/tests/slow_discovery.rs
@@ -12,7 +12,7 @@
 use support::crossing::*;
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 /// Time between two bytes of a board that drips.
 const DRIP: Duration = Duration::from_millis(500);
 /// The board fails for so long before it is good again.
@@ -50,7 +50,7 @@
     let _ = stream.read(&mut asked);
     if good {
         let _ = stream.write_all(format!("{HEAD}{event}").as_bytes());
-        std::thread::sleep(PATIENCE);
+        std::thread::sleep(TEST_TIMEOUT);
         return;
     }
     let (whole, dripped) = match how {
@@ -85,8 +85,8 @@
     let good = Arc::new(AtomicBool::new(false));
     let board = dripping(how, told, good.clone());
     let known = known_of(&event(1, true, &servers));
-    let more = json!({"console": "127.0.0.1:0", "settings": roomy(LONG), "known": known, "board": board.to_string()});
-    let program = Program::platform_more(&[&edge], LONG, &more, &["viewer", "console"]);
+    let more = json!({"console": "127.0.0.1:0", "settings": roomy(UNREACHED_DEADLINE_MS), "known": known, "board": board.to_string()});
+    let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     std::thread::sleep(FAILS_FOR);
     good.store(true, Ordering::SeqCst);
     let since = Instant::now();
@@ -118,12 +118,12 @@
                     let _ = stream.write_all(piece);
                     std::thread::sleep(Duration::from_millis(100));
                 }
-                std::thread::sleep(PATIENCE);
+                std::thread::sleep(TEST_TIMEOUT);
             });
         }
     });
     let known = known_of(&event(1, true, &[("s-0", edge.address, 0, "in_service")]));
-    let more = json!({"console": "127.0.0.1:0", "settings": roomy(LONG), "known": known, "board": board.to_string()});
-    let program = Program::platform_more(&[&edge], LONG, &more, &["viewer", "console"]);
+    let more = json!({"console": "127.0.0.1:0", "settings": roomy(UNREACHED_DEADLINE_MS), "known": known, "board": board.to_string()});
+    let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     program.logged("generation=2 servers=4000");
 }
--- a/tests/support/crossing.rs
+++ b/tests/support/crossing.rs
@@ -8,7 +8,7 @@
 
 use serde_json::{Value, json};
 
-use super::{Edge, PATIENCE, Program, settings};
+use super::{Edge, Program, TEST_TIMEOUT, settings};
 
 impl Program {
     /// Stops the process, does something, and lets it go on: all that was done lies in the machine's buffers by then,
@@ -18,7 +18,7 @@
         let begun = Instant::now();
         let state = || std::fs::read_to_string(format!("/proc/{}/stat", self.pid())).unwrap();
         while !state().rsplit(')').next().unwrap().trim_start().starts_with('T') {
-            assert!(begun.elapsed() < PATIENCE, "it does not stop");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "it does not stop");
             std::thread::yield_now();
         }
         let done = act();
@@ -128,7 +128,7 @@
     pub fn nth_asked(&self, n: usize) -> u64 {
         let mut spoken = self.spoken.0.lock().unwrap();
         while spoken.asked.len() < n {
-            let (next, late) = self.spoken.1.wait_timeout(spoken, PATIENCE).unwrap();
+            let (next, late) = self.spoken.1.wait_timeout(spoken, TEST_TIMEOUT).unwrap();
             assert!(!late.timed_out(), "the board was never asked so often");
             spoken = next;
         }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -23,7 +23,7 @@
 pub use program::{Program, config, starting, tempdir};
 
 /// Nothing here takes so long; a test that waits for it in vain fails instead of hanging.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What a stand-in does with a set-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -181,7 +181,7 @@
             if let Some(found) = found(&heard) {
                 return found;
             }
-            let (next, late) = self.heard.1.wait_timeout(heard, PATIENCE).unwrap();
+            let (next, late) = self.heard.1.wait_timeout(heard, TEST_TIMEOUT).unwrap();
             assert!(!late.timed_out(), "never heard of {what}");
             heard = next;
         }
--- a/tests/support/program.rs
+++ b/tests/support/program.rs
@@ -9,7 +9,7 @@
 
 use serde_json::{Value, json};
 
-use super::{Edge, PATIENCE, known, settings};
+use super::{Edge, TEST_TIMEOUT, known, settings};
 
 /// Held while a process is started, and while a file is written whose closing matters: a process that another
 /// test starts meanwhile has the file open too until its own program runs, and closes it only then. A file that
@@ -155,7 +155,7 @@
             if let Some(line) = lines.iter().find(|l| l.contains(text)) {
                 return line.clone();
             }
-            let (next, late) = self.log.1.wait_timeout(lines, PATIENCE).unwrap();
+            let (next, late) = self.log.1.wait_timeout(lines, TEST_TIMEOUT).unwrap();
             assert!(!late.timed_out(), "never logged: {text}\n{}", next.join("\n"));
             lines = next;
         }
@@ -168,7 +168,7 @@
             if let Some(line) = lines.iter().filter(|l| l.starts_with(start)).nth(n) {
                 return line.clone();
             }
-            let (next, late) = self.log.1.wait_timeout(lines, PATIENCE).unwrap();
+            let (next, late) = self.log.1.wait_timeout(lines, TEST_TIMEOUT).unwrap();
             assert!(!late.timed_out(), "never logged so often: {start}");
             lines = next;
         }
@@ -176,7 +176,7 @@
 
     pub fn connect(&self, front: &str) -> TcpStream {
         let stream = TcpStream::connect(self.fronts[front]).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream
     }
 
@@ -229,7 +229,7 @@
                 return status.success();
             }
             // One that plays may linger for 30 s.
-            assert!(begun.elapsed() < PATIENCE * 3, "it does not end");
+            assert!(begun.elapsed() < TEST_TIMEOUT * 3, "it does not end");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
--- a/tests/support/versions.rs
+++ b/tests/support/versions.rs
@@ -8,10 +8,10 @@
 
 use serde_json::{Value, json};
 
-use super::{Edge, PATIENCE, Program, ask_for, config, tempdir};
+use super::{Edge, Program, TEST_TIMEOUT, ask_for, config, tempdir};
 
 /// A deadline that no test reaches, in milliseconds.
-pub const LONG: f64 = 60_000.0;
+pub const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
 /// What the platform holds: the clients' socket, and the folder that all versions share.
 pub struct Platform {
@@ -33,7 +33,7 @@
     }
 
     pub fn command(&self, edges: &[&Edge], files: &tempdir::Dir, socket: Stdio) -> Command {
-        let mut config = config(edges, LONG);
+        let mut config = config(edges, UNREACHED_DEADLINE_MS);
         config["listen"] = json!(self.socket.local_addr().unwrap().to_string());
         config["console"] = json!("127.0.0.1:0");
         for (key, value) in self.more.as_object().unwrap() {
@@ -62,7 +62,7 @@
     pub fn connect(&self) -> TcpStream {
         let address: SocketAddr = self.socket.local_addr().unwrap();
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream
     }
 
--- a/tests/upgrade_ends.rs
+++ b/tests/upgrade_ends.rs
@@ -24,7 +24,7 @@
 /// What makes the one server of a list cold for a minute. It has so many places; the pace allows as many set-ups in
 /// that minute, of which seven in ten are used.
 fn cold(edge: &Edge, places: u32) -> Value {
-    let mut settings = roomy(LONG);
+    let mut settings = roomy(UNREACHED_DEADLINE_MS);
     settings["FamilyInfo"]["PlacesByKind"] = json!([places]);
     settings["Rules"] = json!({"StopSendingWithin": 500.0, "Cold": 60_000.0, "ColdFrom": 0.4,
         "FallMultiple": 2.5, "Fall": 2_000.0});
@@ -48,7 +48,7 @@
     fn until(&mut self, edge: &Edge, set_ups: usize) {
         let begun = Instant::now();
         while edge.set_ups().len() < set_ups {
-            assert!(begun.elapsed() < PATIENCE, "no set-up comes to the cold server");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "no set-up comes to the cold server");
             ask_for(&mut self.stream, self.next, "clip", 50_000, "o");
             self.next += 1;
             std::thread::sleep(ASKED_EVERY);
@@ -130,7 +130,7 @@
         ask_for(&mut waits, 1, "paid", 50_000, "waits");
         edge.nth_set_up(1);
         let mut heir = UnixStream::connect(platform.meeting_point()).unwrap();
-        heir.set_read_timeout(Some(PATIENCE)).unwrap();
+        heir.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let take_over = json!({"say": "take_over", "version": 1, "started": u64::MAX});
         heir.write_all(format!("{take_over}\n").as_bytes()).unwrap();
         let mut line = String::new();
--- a/tests/upgrade_seeds.rs
+++ b/tests/upgrade_seeds.rs
@@ -72,7 +72,7 @@
     let versions = if seed.is_multiple_of(3) { 3 } else { 2 };
     let edge = Edge::start(Manner::Silent);
     let answers = answer_late(&edge, seed);
-    let mut settings = roomy(LONG);
+    let mut settings = roomy(UNREACHED_DEADLINE_MS);
     settings["FamilyInfo"]["PlacesByKind"] = json!([1000]);
     let platform = Arc::new(Platform::with(json!({"settings": settings})));
 
--- a/tests/watched.rs
+++ b/tests/watched.rs
@@ -14,7 +14,7 @@
 use support::*;
 
 const OFFER: &str = "v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\nm=video 9 UDP/TLS/RTP/SAVPF 96\r\n";
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 /// So long that only the system's word on changes, or the operator's, can be what the broker acts on.
 const NEVER: &str = "poll_ms = 3600000";
 /// Only the operator's word: each reading is one that a test asked for.
@@ -68,7 +68,8 @@
     /// Starts a broker where one was before.
     fn again(files: tempdir::Dir, watch: &str, arguments: &[&str]) -> Broker {
         let list = files.0.join("lists/servers.toml");
-        let settings = toml::to_string(&serde_json::json!({"settings": settings(LONG)})).unwrap();
+        let settings =
+            toml::to_string(&serde_json::json!({"settings": settings(UNREACHED_DEADLINE_MS)})).unwrap();
         let path = files.write("operator.toml", &format!("{}\n{settings}", operator(watch)));
         let mut command = Command::new(env!("CARGO_BIN_EXE_amberspindle"));
         command.arg("serve").args(arguments).arg("--config").arg(path);
@@ -299,7 +300,7 @@
                 let mut answers = 0;
                 while !stop.load(Ordering::Relaxed) {
                     let mut stream = std::net::TcpStream::connect(front).unwrap();
-                    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+                    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
                     stream.write_all(&http("POST", "/whep/guide", Some(OFFER))).unwrap();
                     assert_eq!(reply(&mut stream).expect("each is answered").status, 201);
                     answers += 1;
@@ -536,7 +537,8 @@
 fn check_names_each_finding_on_a_line_of_its_own() {
     let edge = Edge::start(Manner::Answers);
     let files = tempdir::Dir::new();
-    let settings = toml::to_string(&serde_json::json!({"settings": settings(LONG)})).unwrap();
+    let settings =
+        toml::to_string(&serde_json::json!({"settings": settings(UNREACHED_DEADLINE_MS)})).unwrap();
     let title = "[[title]]\nname = \"t\"\nclass = \"clip\"\nhome = 0\ncopies = 1\n";
     let file = |whip: &str, more: &str| {
         files.write(
@@ -577,7 +579,8 @@
 fn seal_writes_the_mark_that_check_asks_for() {
     let edge = Edge::start(Manner::Answers);
     let files = tempdir::Dir::new();
-    let settings = toml::to_string(&serde_json::json!({"settings": settings(LONG)})).unwrap();
+    let settings =
+        toml::to_string(&serde_json::json!({"settings": settings(UNREACHED_DEADLINE_MS)})).unwrap();
     fs::create_dir(files.0.join("lists")).unwrap();
     files.write("operator.toml", &format!("{}\n{settings}", operator("weights = \"w.toml\"")));
     let text = server("a", &edge, 0, "# heavy");
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -8,10 +8,10 @@
 use support::crossing::*;
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
 fn started(edge: &Edge, more: &Value) -> Program {
-    Program::platform_more(&[edge], LONG, more, &["viewer", "console"])
+    Program::platform_more(&[edge], UNREACHED_DEADLINE_MS, more, &["viewer", "console"])
 }
 
 /// Writes the configuration anew with these parts in it, and has it read.
@@ -32,7 +32,7 @@
     let edges = [Edge::start(Manner::Answers), Edge::start(Manner::Answers)];
     let (old, new) = (Notices::start(), Notices::start());
     let known = known_of(&event(1, true, &[("s-0", edges[0].address, 0, "in_service")]));
-    let more = json!({"console": "127.0.0.1:0", "settings": roomy(LONG), "known": known,
+    let more = json!({"console": "127.0.0.1:0", "settings": roomy(UNREACHED_DEADLINE_MS), "known": known,
         "board": old.address.to_string()});
     let program = started(&edges[0], &more);
     assert_eq!(old.nth_asked(1), 1);
@@ -67,7 +67,7 @@
     let edge = Edge::start(Manner::Answers);
     let board = Notices::start();
     let known = known_of(&event(1, true, &[("s-0", edge.address, 0, "in_service")]));
-    let more = json!({"console": "127.0.0.1:0", "settings": roomy(LONG), "known": known, "board": board.address.to_string()});
+    let more = json!({"console": "127.0.0.1:0", "settings": roomy(UNREACHED_DEADLINE_MS), "known": known, "board": board.address.to_string()});
     let program = started(&edge, &more);
     assert_eq!(board.nth_asked(1), 1);
     board.tell(&event(2, false, &[("s-1", edge.address, 1, "terminated")]));
@@ -83,8 +83,9 @@
 #[test]
 fn fewer_attempts_allowed_meanwhile_hold_for_a_request_that_is_out() {
     let edges = [Edge::start(Manner::Silent), Edge::start(Manner::Silent)];
-    let more = json!({"console": "127.0.0.1:0", "settings": roomy(LONG)});
-    let program = Program::platform_more(&[&edges[0], &edges[1]], LONG, &more, &["viewer", "console"]);
+    let more = json!({"console": "127.0.0.1:0", "settings": roomy(UNREACHED_DEADLINE_MS)});
+    let program =
+        Program::platform_more(&[&edges[0], &edges[1]], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     let mut client = program.connect("viewer");
     ask_for(&mut client, 1, "paid", 50_000, "o");
     let first = loop {
@@ -93,7 +94,7 @@
         }
         std::thread::yield_now();
     };
-    let mut settings = roomy(LONG);
+    let mut settings = roomy(UNREACHED_DEADLINE_MS);
     settings["Limits"]["AttemptsCap"] = json!(1);
     reload(&program, &json!({"settings": settings}));
     edges[first].say_beside(SessionId(1), release(SessionId(1), cause::FULL));
--- a/tests/whip.rs
+++ b/tests/whip.rs
@@ -10,13 +10,13 @@
 
 const OFFER: &str = "v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\nm=video 9 UDP/TLS/RTP/SAVPF 96\r\n";
 const OTHER: &str = "v=0\r\no=- 2 2 IN IP4 127.0.0.1\r\nm=video 9 UDP/TLS/RTP/SAVPF 97\r\n";
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 const BOOKING: &str = "/whip/walk/bookings/b-1";
 
 #[test]
 fn a_session_is_set_up_and_deleted() {
     let edge = Edge::start(Manner::Answers);
-    let program = Program::whip(&[&edge], LONG, "");
+    let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "");
     let made = ask(&program, "POST", "/whep/guide", Some(OFFER));
     let id = edge.nth_set_up(1);
     assert_eq!((made.status, made.body), (201, edge_answer(id, OFFER)));
@@ -38,7 +38,7 @@
 #[test]
 fn what_can_not_be_served_is_told_why_on_one_connection() {
     let edge = Edge::start(Manner::Answers);
-    let program = Program::whip(&[&edge], LONG, "");
+    let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "");
     let mut stream = program.connect("http");
     let mut on = |request: Vec<u8>| {
         stream.write_all(&request).unwrap();
@@ -68,7 +68,7 @@
 #[test]
 fn a_booking_is_set_up_once_whatever_is_repeated() {
     let edge = Edge::start(Manner::Answers);
-    let program = Program::whip(&[&edge], LONG, "");
+    let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "");
     let first = ask(&program, "POST", BOOKING, Some(OFFER));
     let again = ask(&program, "POST", BOOKING, Some(OFFER));
     assert_eq!(first.status, 201);
@@ -95,9 +95,11 @@
 
 #[test]
 fn a_paid_set_up_that_may_have_run_is_not_sent_again() {
-    for (manner, deadline, status) in
-        [(Manner::Fails, LONG, 502), (Manner::Breaks, LONG, 502), (Manner::Silent, 1500.0, 504)]
-    {
+    for (manner, deadline, status) in [
+        (Manner::Fails, UNREACHED_DEADLINE_MS, 502),
+        (Manner::Breaks, UNREACHED_DEADLINE_MS, 502),
+        (Manner::Silent, 1500.0, 504),
+    ] {
         let edges = [Edge::start(manner), Edge::start(manner)];
         let program = Program::whip(&[&edges[0], &edges[1]], deadline, "");
         assert_eq!(ask(&program, "POST", BOOKING, Some(OFFER)).status, status, "{manner:?}");
@@ -110,7 +112,7 @@
 #[test]
 fn a_delete_during_an_attempt_gives_one_answer_and_releases_a_late_one() {
     let edge = Edge::start(Manner::Silent);
-    let program = Program::whip(&[&edge], LONG, "");
+    let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "");
     let mut post = program.connect("http");
     post.write_all(&http("POST", BOOKING, Some(OFFER))).unwrap();
     let id = edge.nth_set_up(1);
@@ -129,7 +131,7 @@
 #[test]
 fn a_paid_set_up_outlives_its_connection_and_can_be_claimed() {
     let edge = Edge::start(Manner::Silent);
-    let program = Program::whip(&[&edge], LONG, "");
+    let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "");
     let mut post = program.connect("http");
     post.write_all(&http("POST", BOOKING, Some(OFFER))).unwrap();
     let id = edge.nth_set_up(1);
@@ -144,7 +146,7 @@
 #[test]
 fn a_paid_session_that_nobody_claims_is_released_and_an_unpaid_one_given_up() {
     let edge = Edge::start(Manner::Silent);
-    let program = Program::whip(&[&edge], LONG, "reclaim_ms = 50");
+    let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "reclaim_ms = 50");
     for (n, path) in [BOOKING, "/whep/guide"].into_iter().enumerate() {
         let mut post = program.connect("http");
         post.write_all(&http("POST", path, Some(OFFER))).unwrap();
