--- a/benches/watched.rs
+++ b/benches/watched.rs
@@ -65,7 +65,7 @@
 
 /// From the rename to the first set-up at a server that the list names anew, and to the last at one it drops.
 fn reaction(name: &str, watch: &str) {
-    let edges = [Edge::start(Manner::Answers), Edge::start(Manner::Answers)];
+    let edges = [Edge::start(EdgeBehaviour::Answers), Edge::start(EdgeBehaviour::Answers)];
     let lists = [list("a", &edges[0]), list("b", &edges[1])];
     let program = broker(Some(watch), &lists[0], "");
     let (front, stop) = (program.fronts["http"], Arc::new(AtomicBool::new(false)));
@@ -122,7 +122,7 @@
 
 /// What requests wait, and what the log grows, while a list of 10,000 servers is rewritten every 10 ms.
 fn flapping() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let mut text = String::new();
     for n in 0..10_000 {
         let address =
@@ -205,7 +205,7 @@
 
 /// Processor time and memory with nothing changed.
 fn idle() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let first = list("a", &edge);
     let fixed = format!("[[server]]\nid = \"a\"\naddress = \"{}\"\ncell = 0\n", edge.address);
     let brokers = [
@@ -228,7 +228,7 @@
 
 /// Start-up on the platform's configuration, in turn.
 fn starts(before: &Path) {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let config = json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
         "known": known(&[&edge]), "settings": settings(1000.0)});
     let now = Path::new(env!("CARGO_BIN_EXE_amberspindle"));
--- a/benches/whip.rs
+++ b/benches/whip.rs
@@ -26,7 +26,7 @@
     for clients in if clients.is_empty() { vec![32, 120] } else { clients } {
         println!("{clients} clients");
         let media: Vec<Media> = (0..3).map(|_| Media::start(Does::Answers)).collect();
-        let edges: Vec<Edge> = (0..3).map(|_| Edge::start(Manner::Answers)).collect();
+        let edges: Vec<Edge> = (0..3).map(|_| Edge::start(EdgeBehaviour::Answers)).collect();
         let proxy = proxy(media[0].address);
         run("proxy to a media server", clients, None, || Box::new(Http::new(proxy, "/whep/guide")));
         let gateway = gateway(&media.iter().collect::<Vec<_>>());
@@ -58,7 +58,7 @@
         for class in narrow["RequestClasses"].as_array_mut().unwrap() {
             class["Slo"] = json!(aim);
         }
-        let edges: Vec<Edge> = (0..3).map(|_| Edge::start(Manner::Answers)).collect();
+        let edges: Vec<Edge> = (0..3).map(|_| Edge::start(EdgeBehaviour::Answers)).collect();
         let mut text = "[whip]\nlisten = \"127.0.0.1:0\"\n".to_owned();
         text += "[[title]]\nname = \"guide\"\nclass = \"clip\"\nhome = 0\ncopies = 3\n";
         for (cell, edge) in edges.iter().enumerate() {
--- a/tests/attempt_ends.rs
+++ b/tests/attempt_ends.rs
@@ -98,7 +98,7 @@
 #[test]
 fn a_second_attempt_never_overtakes_the_end_of_the_first_behind_a_full_buffer() {
     let listener = SlowReader::listen();
-    let other = Edge::start(Manner::Answers);
+    let other = Edge::start(EdgeBehaviour::Answers);
     let mut settings = roomy(DEADLINE_MS);
     settings["FamilyInfo"]["LadderKb"] = json!([0.1, 0.2]);
     let addresses = [listener.local_addr().unwrap(), other.address];
--- a/tests/conformance.rs
+++ b/tests/conformance.rs
@@ -43,7 +43,7 @@
 /// The platform's edge servers take no fragments: the broker says so, and the rest holds.
 #[test]
 fn no_case_fails_before_the_platforms_edge_servers() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = Program::whip(&[&edge], 60_000.0, "");
     let report = Report::run(&endpoint(&program), "");
     assert_eq!(report.count("failed"), 0, "{}", report.write(Format::Text));
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -45,7 +45,7 @@
     let names = ["Überfahrt", "überfahrt", "x", "X", "船", &long, "a b", "a;b:c", "0"];
     let classes: Vec<Value> = names.iter().map(|name| class(name, false)).collect();
     let tenants = ["Nord", "nord", "Süd", "南"];
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = started(&edge, &settings_of(&classes, &tenants));
     let mut client = program.connect("viewer");
     for (n, name) in names.iter().enumerate() {
@@ -68,7 +68,7 @@
 fn one_class_without_tenants_and_two_hundred_classes_are_served() {
     for count in [1, 200] {
         let classes: Vec<Value> = (0..count).map(|n| class(&format!("c{n}"), n % 2 == 0)).collect();
-        let edge = Edge::start(Manner::Answers);
+        let edge = Edge::start(EdgeBehaviour::Answers);
         let program = started(&edge, &settings_of(&classes, &[]));
         let mut client = program.connect("viewer");
         for (id, n) in (1..).zip([0, count / 2, count - 1]) {
@@ -82,7 +82,7 @@
 /// kept away from the end whatever the settings said, so that with three or less each set-up had a connection of its own.
 #[test]
 fn connections_are_used_again_where_servers_close_idle_ones_soon() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let mut settings = settings_of(&[class("only", false)], &["home"]);
     settings["Limits"]["Keepalive"] = json!(2_500.0);
     let program = started(&edge, &settings);
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -30,7 +30,7 @@
 /// the core, as the module had not looked at it again. No attempt of it ran, so it is to be refused, and in time.
 #[test]
 fn a_request_that_was_turned_away_is_refused_before_its_time_is_up() {
-    let edges: Vec<Edge> = (0..CELLS).map(|_| Edge::start(Manner::Full)).collect();
+    let edges: Vec<Edge> = (0..CELLS).map(|_| Edge::start(EdgeBehaviour::Full)).collect();
     let mut settings = roomy(DEADLINE_MS as f64);
     settings["Period"] = json!(1.0);
     settings["FamilyInfo"]["Places"] = json!(CELLS);
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -22,7 +22,7 @@
 fn warmed(program: &Program, edges: &[&Edge]) -> Vec<TcpStream> {
     let warm = |(cell, edge): (usize, &&Edge)| {
         let mut client = program.connect("viewer");
-        edge.behave(Manner::Answers);
+        edge.set_behaviour(EdgeBehaviour::Answers);
         ask_in(&mut client, 100 + cell as u64, cell, "warm");
         assert_eq!(final_answer(&mut client, 100 + cell as u64).unwrap()["type"], "answer");
         client
@@ -65,10 +65,10 @@
 #[test]
 fn a_request_that_waits_for_room_is_not_sent_on() {
     for how in WAYS {
-        let edge = Edge::start(Manner::Answers);
+        let edge = Edge::start(EdgeBehaviour::Answers);
         let program = started(&[&edge]);
         let _warm = warmed(&program, &[&edge]);
-        edge.behave(Manner::Full);
+        edge.set_behaviour(EdgeBehaviour::Full);
         let mut client = program.connect("viewer");
         let other = program.connect("viewer");
         let mut later = program.connect("viewer");
@@ -76,7 +76,7 @@
         edge.nth_set_up(2);
         program.settle();
         let _open = program.while_stopped(|| {
-            edge.behave(Manner::Answers);
+            edge.set_behaviour(EdgeBehaviour::Answers);
             // The time of the next look at held requests comes, and another client's request goes before the end.
             pass(700);
             ask_for(&mut later, 2, "clip", 50_000, "later");
@@ -92,10 +92,10 @@
 #[test]
 fn no_further_attempt_begins() {
     for how in WAYS {
-        let edges = [Edge::start(Manner::Answers), Edge::start(Manner::Answers)];
+        let edges = [Edge::start(EdgeBehaviour::Answers), Edge::start(EdgeBehaviour::Answers)];
         let program = started(&[&edges[0], &edges[1]]);
         let _warm = warmed(&program, &[&edges[0], &edges[1]]);
-        edges.iter().for_each(|e| e.behave(Manner::Silent));
+        edges.iter().for_each(|e| e.set_behaviour(EdgeBehaviour::Silent));
         let mut client = program.connect("viewer");
         let other = program.connect("viewer");
         ask_for(&mut client, 1, "paid", 50_000, "paid");
@@ -113,7 +113,7 @@
         program.settle();
         program.settle();
         let mut later = program.connect("viewer");
-        edges.iter().for_each(|e| e.behave(Manner::Answers));
+        edges.iter().for_each(|e| e.set_behaviour(EdgeBehaviour::Answers));
         ask_for(&mut later, 2, "clip", 50_000, "later");
         assert_eq!(final_answer(&mut later, 2).unwrap()["type"], "answer");
         assert!(!ran(&edges[1 - first]).contains(&"paid".to_owned()), "{how:?}: a further attempt began");
@@ -124,7 +124,7 @@
 #[test]
 fn a_request_whose_client_has_gone_before_it_is_read_is_not_sent_on() {
     for how in WAYS {
-        let edge = Edge::start(Manner::Answers);
+        let edge = Edge::start(EdgeBehaviour::Answers);
         let program = started(&[&edge]);
         let _warm = warmed(&program, &[&edge]);
         let mut client = program.connect("viewer");
@@ -151,7 +151,7 @@
 fn a_late_connection_carries_nothing_of_a_client_that_left() {
     for how in [Leaves::Closes, Leaves::Cancels] {
         let clogged = Clogged::new();
-        let edge = Edge::start(Manner::Answers);
+        let edge = Edge::start(EdgeBehaviour::Answers);
         let known = known_of(&event(1, true, &[("s-0", clogged.address(), 0, "in_service")]));
         let more = json!({"console": CONSOLE, "known": known, "settings": roomy(UNREACHED_DEADLINE_MS)});
         let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
@@ -179,20 +179,20 @@
 #[test]
 fn no_further_attempt_of_a_paid_set_up_begins_over_http() {
     use std::io::Write;
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = Program::whip(&[&edge], 20_000.0, "");
     let path = "/whip/walk/bookings/b-1";
     let offer = "v=0\r\ns=paid\r\nm=video 9\r\n";
     // A connection to the server is up.
     assert_eq!(ask(&program, "POST", "/whep/guide", Some("v=0\r\ns=warm\r\nm=video 9\r\n")).status, 201);
-    edge.behave(Manner::Full);
+    edge.set_behaviour(EdgeBehaviour::Full);
     let mut client = program.connect("http");
     client.write_all(&http("POST", path, Some(offer))).unwrap();
     edge.nth_set_up(2);
     assert_eq!(ask(&program, "POST", "/whep/none", Some(offer)).status, 404);
     let mut later = program.connect("http");
     program.while_stopped(|| {
-        edge.behave(Manner::Answers);
+        edge.set_behaviour(EdgeBehaviour::Answers);
         pass(700);
         later.write_all(&http("POST", "/whep/guide", Some("v=0\r\ns=later\r\nm=video 9\r\n"))).unwrap();
         drop(client);
--- a/tests/derived.rs
+++ b/tests/derived.rs
@@ -62,7 +62,7 @@
 /// does not read; it was cut, and the request that waited there was lost.
 #[test]
 fn the_end_of_thousands_of_sessions_costs_no_request_on_their_connection() {
-    let (first, second) = (Edge::start(Manner::Answers), Edge::start(Manner::Silent));
+    let (first, second) = (Edge::start(EdgeBehaviour::Answers), Edge::start(EdgeBehaviour::Silent));
     let (program, board) = started(&first, &second);
     let mut client = program.connect("viewer");
     name_sessions(&mut client);
@@ -77,7 +77,7 @@
 /// Seen to fail before: 4,096 releases were kept whatever the memory, and the connection that they went out on was cut.
 #[test]
 fn the_ends_of_thousands_of_sessions_wait_for_the_next_connection() {
-    let (first, second) = (Edge::start(Manner::Answers), Edge::start(Manner::Answers));
+    let (first, second) = (Edge::start(EdgeBehaviour::Answers), Edge::start(EdgeBehaviour::Answers));
     let (program, board) = started(&first, &second);
     let mut client = program.connect("viewer");
     name_sessions(&mut client);
@@ -107,7 +107,7 @@
 #[test]
 fn a_client_that_stands_still_for_less_than_its_deadline_has_its_answer() {
     const PINGS: usize = 60_000;
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let more = json!({"settings": roomy(10_000.0)});
     let program = Program::platform_more(&[&edge], 10_000.0, &more, &["viewer"]);
     let mut client = narrow_client(program.fronts["viewer"]);
@@ -121,7 +121,7 @@
 /// Seen to fail before: 64 were taken beyond what there was room for, and the others were reset.
 #[test]
 fn a_herd_that_waits_to_be_accepted_at_the_end_is_answered_as_room_comes() {
-    let edge = Edge::start(Manner::Silent);
+    let edge = Edge::start(EdgeBehaviour::Silent);
     let limits = json!({"sockets": 64, "memory_mb": 192});
     let more = json!({"console": "127.0.0.1:0", "settings": roomy(UNREACHED_DEADLINE_MS), "limits": limits});
     let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
@@ -144,7 +144,7 @@
         pass(900);
         herd
     });
-    edge.behave(Manner::Answers);
+    edge.set_behaviour(EdgeBehaviour::Answers);
     (1..=32).for_each(|id| edge.answer_now(SessionId(id)));
     let clients = early.into_iter().chain(herd);
     let heard = clients.filter_map(|(id, mut client)| final_answer(&mut client, id)).count();
@@ -154,7 +154,7 @@
 /// Seen to fail before: the name of a class that went was forgotten after 2 s, while who had asked under it still waited.
 #[test]
 fn the_name_of_a_class_that_went_is_known_for_as_long_as_its_viewers_wait() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let class =
         |name: &str| json!({"Name": name, "Slo": 3_000.0, "Deadline": 10_000.0, "Effect": "read_like"});
     let mut settings = roomy(10_000.0);
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -85,7 +85,7 @@
 /// machine's limit was not looked at, and clients' connections used up the descriptor that the notice board needs.
 #[test]
 fn the_list_comes_back_though_idle_clients_hold_all_that_they_can() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     // An address that turns connections down until it listens.
     let place = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
     bind(&place, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
@@ -134,7 +134,7 @@
 /// More servers than there are descriptors for: each request has its answer, the board and new clients are heard.
 #[test]
 fn more_servers_than_descriptors_leave_room_for_all_else() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let mut listeners = Vec::new();
     let mut servers = Vec::new();
     for n in 0..24 {
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -28,7 +28,7 @@
         [("terminating", true), ("terminated", true), ("terminating", false), ("terminated", false)]
     {
         let board = Notices::start();
-        let edge = Edge::start(Manner::Answers);
+        let edge = Edge::start(EdgeBehaviour::Answers);
         let servers = [("s-0", edge.address, 0, "in_service")];
         let program = started(&[&edge], &servers, &board);
         let mut warm = program.connect("viewer");
@@ -59,7 +59,7 @@
 fn a_set_up_that_waits_for_its_connection_goes_elsewhere() {
     for state in ["terminating", "terminated"] {
         let board = Notices::start();
-        let (first, second) = (Edge::start(Manner::Answers), Edge::start(Manner::Answers));
+        let (first, second) = (Edge::start(EdgeBehaviour::Answers), Edge::start(EdgeBehaviour::Answers));
         let clogged = Clogged::new();
         let servers = [("s-0", clogged.address(), 0, "in_service")];
         let program = started(&[&first], &servers, &board);
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -25,8 +25,10 @@
 /// servers saw. Those that are withdrawn while nothing was answered count as none.
 #[test]
 fn every_request_counts_once_and_every_attempt_that_a_server_saw() {
-    let edges: Vec<Edge> =
-        [Manner::Answers, Manner::Full, Manner::Fails].into_iter().map(Edge::start).collect();
+    let edges: Vec<Edge> = [EdgeBehaviour::Answers, EdgeBehaviour::Full, EdgeBehaviour::Fails]
+        .into_iter()
+        .map(Edge::start)
+        .collect();
     let program = Program::platform_more(
         &edges.iter().collect::<Vec<_>>(),
         4_000.0,
@@ -43,11 +45,14 @@
     for id in 1..=80_u64 {
         let class = if rng.bool() { "paid" } else { "clip" };
         // At the end all are full: those are refused.
-        let manners =
-            if id <= 60 { [Manner::Answers, Manner::Full, Manner::Fails] } else { [Manner::Full; 3] };
-        edges[rng.usize(0..3)].behave(manners[rng.usize(0..3)]);
+        let manners = if id <= 60 {
+            [EdgeBehaviour::Answers, EdgeBehaviour::Full, EdgeBehaviour::Fails]
+        } else {
+            [EdgeBehaviour::Full; 3]
+        };
+        edges[rng.usize(0..3)].set_behaviour(manners[rng.usize(0..3)]);
         if id == 61 {
-            edges.iter().for_each(|edge| edge.behave(Manner::Full));
+            edges.iter().for_each(|edge| edge.set_behaviour(EdgeBehaviour::Full));
         }
         let mut stream = program.connect("viewer");
         // Some ask for longer than any class waits: they fail at the door.
@@ -81,7 +86,7 @@
 
 #[test]
 fn a_request_that_is_withdrawn_counts_as_none_and_its_attempt_counts() {
-    let edge = Edge::start(Manner::Silent);
+    let edge = Edge::start(EdgeBehaviour::Silent);
     let more = json!({"console": "127.0.0.1:0"});
     let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     let mut stream = program.connect("viewer");
--- a/tests/floods.rs
+++ b/tests/floods.rs
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_client_that_sends_without_reading_is_let_go_and_costs_the_others_nothing() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = started(&[&edge], UNREACHED_DEADLINE_MS);
     let mut flood = program.connect("viewer");
     flood.set_write_timeout(Some(Duration::from_millis(500))).unwrap();
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_thousand_connections_at_once_keep_nobody_out() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = started(&[&edge], UNREACHED_DEADLINE_MS);
     let mut early = program.connect("viewer");
     ask_for(&mut early, 1, "clip", 50_000, "early");
@@ -77,7 +77,7 @@
 
 #[test]
 fn a_request_that_comes_a_byte_at_a_time_is_given_up_and_others_are_served() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = started(&[&edge], UNREACHED_DEADLINE_MS);
     let mut slow = program.connect("viewer");
     let dripping = std::thread::spawn(move || {
@@ -103,7 +103,7 @@
         [(1, true, "paid"), (1, false, "clip"), (1, false, "paid"), (900, true, "clip")]
     {
         let slow = TcpListener::bind("127.0.0.1:0").unwrap();
-        let good = Edge::start(Manner::Answers);
+        let good = Edge::start(EdgeBehaviour::Answers);
         let known = known_of(&event(1, true, &[("s-0", slow.local_addr().unwrap(), 0, "in_service")]));
         let board = Notices::start();
         let settings = roomy(8_000.0);
@@ -148,7 +148,7 @@
 
 #[test]
 fn what_cannot_be_read_ends_its_connection_with_one_line_of_its_code() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = started(&[&edge], UNREACHED_DEADLINE_MS);
     for (spoilt, code) in [
         ("{\"type\":\"setup\"\n".to_owned(), "bad-json"),
--- a/tests/half_written.rs
+++ b/tests/half_written.rs
@@ -129,7 +129,7 @@
 }
 
 fn leaves_in_the_middle(class: &str) {
-    let (deaf, other) = (Deaf::new(), Edge::start(Manner::Answers));
+    let (deaf, other) = (Deaf::new(), Edge::start(EdgeBehaviour::Answers));
     let known = known_of(&event(
         1,
         true,
--- a/tests/letting_go.rs
+++ b/tests/letting_go.rs
@@ -24,7 +24,7 @@
 /// between. Seen to fail before: the request lay unread while the connection was closed over it.
 #[test]
 fn a_request_that_came_before_an_idle_connection_was_closed_is_answered() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     for (id, spoke) in [(1, true), (2, false)] {
         let mut client = program.connect("viewer");
@@ -43,7 +43,7 @@
 /// The same where room is made for others.
 #[test]
 fn a_request_that_came_before_its_connection_made_room_is_answered() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let more = json!({"limits": {"sockets": 32}, "console": "127.0.0.1:0"});
     let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     let mut clients: Vec<TcpStream> = (0..9).map(|_| program.connect("viewer")).collect();
@@ -62,10 +62,10 @@
 /// played on at its server for nobody.
 #[test]
 fn a_session_whose_client_went_before_its_answer_is_released() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut client = program.connect("viewer");
-    edge.behave(Manner::Silent);
+    edge.set_behaviour(EdgeBehaviour::Silent);
     ask_for(&mut client, 1, "paid", 50_000, "gone");
     let id = edge.nth_set_up(1);
     program.while_stopped(|| {
--- a/tests/lost_ends.rs
+++ b/tests/lost_ends.rs
@@ -29,7 +29,7 @@
 /// up on: the end, read first, was written to a client that had gone, and nobody heard of it.
 #[test]
 fn an_end_that_crosses_its_clients_close_is_told_on_another_connection() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut stays = program.connect("viewer");
     ask_for(&mut stays, STAYS, "paid", 50_000, "stays");
--- a/tests/operate.rs
+++ b/tests/operate.rs
@@ -62,7 +62,7 @@
 
 #[test]
 fn a_drained_broker_says_no_ends_idle_connections_and_answers_what_is_under_way() {
-    let edge = Edge::start(Manner::Silent);
+    let edge = Edge::start(EdgeBehaviour::Silent);
     let program = start(&[&edge]);
     assert_eq!(ping(&program)["cause"], 1);
     let mut busy = program.connect("viewer");
@@ -104,7 +104,7 @@
 /// Guards against a set-up that crosses the end of an idle connection and runs though its sender is not told.
 #[test]
 fn what_crosses_the_end_of_a_connection_never_ran() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = start(&[&edge]);
     let mut stream = program.connect("viewer");
     stream.write_all(b"{\"type\":\"ping\",\"id\":\"9b1f03aa5c7e2d41\",\"fields\":{},\"cause\":0}\n").unwrap();
@@ -121,7 +121,7 @@
 /// out on those, where nobody hears them.
 #[test]
 fn the_end_of_a_session_waits_for_a_viewers_connection_and_not_for_a_test() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = start(&[&edge]);
     let mut viewer = program.connect("viewer");
     ask_for(&mut viewer, 0x9b1f03aa5c7e2d45, "paid", 50_000, "offer");
@@ -172,10 +172,10 @@
 /// call no connection may be held that brought a request in the last 2 s.
 #[test]
 fn a_drain_lets_a_connection_go_that_is_never_quiet() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let more = json!({"console": "127.0.0.1:0", "settings": settings(UNREACHED_DEADLINE_MS)});
     let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
-    let asking = askers::Manner {
+    let asking = askers::RequestProfile {
         class: "clip",
         deadline_ms: 2_000,
         pause: Duration::from_millis(20),
--- a/tests/planned_ends.rs
+++ b/tests/planned_ends.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use support::askers::{Askers, Manner as Asking, lost};
+use support::askers::{Askers, RequestProfile, lost};
 use support::crossing::*;
 use support::versions::Platform;
 use support::*;
@@ -24,19 +24,23 @@
     Duration::from_millis(deadline_ms.min(most_ms)) + KILL_MARGIN
 }
 
-fn asking(class: &'static str) -> Asking {
+fn asking(class: &'static str) -> RequestProfile {
     let pause = Duration::from_millis(40);
-    Asking { class, deadline_ms: DEADLINE_MS, pause, extras: "home:0;copies:3;top:1" }
+    RequestProfile { class, deadline_ms: DEADLINE_MS, pause, extras: "home:0;copies:3;top:1" }
 }
 
 /// Three servers of which one hangs.
 fn servers() -> [Edge; 3] {
-    [Edge::start(Manner::Answers), Edge::start(Manner::Silent), Edge::start(Manner::Answers)]
+    [
+        Edge::start(EdgeBehaviour::Answers),
+        Edge::start(EdgeBehaviour::Silent),
+        Edge::start(EdgeBehaviour::Answers),
+    ]
 }
 
 /// All servers hang from now on, so that no connection is ever quiet.
 fn hang(edges: &[Edge; 3]) {
-    edges.iter().for_each(|edge| edge.behave(Manner::Silent));
+    edges.iter().for_each(|edge| edge.set_behaviour(EdgeBehaviour::Silent));
 }
 
 fn started(edges: &[&Edge], deadline: f64) -> Program {
@@ -109,7 +113,7 @@
 #[test]
 fn what_waits_for_a_server_is_answered_before_the_kill() {
     let deadline = 10_000;
-    let edge = Edge::start(Manner::Silent);
+    let edge = Edge::start(EdgeBehaviour::Silent);
     let program = started(&[&edge], deadline as f64);
     let mut client = program.connect("viewer");
     ask_for(&mut client, 1, "clip", deadline, "offer");
@@ -125,7 +129,7 @@
 /// Clients and servers hear of the end of what plays when its process has to go.
 #[test]
 fn what_plays_is_released_on_both_sides_before_the_kill() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = started(&[&edge], DEADLINE_MS as f64);
     let mut client = program.connect("viewer");
     ask_for(&mut client, 1, "paid", DEADLINE_MS, "offer");
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -53,7 +53,7 @@
 
 #[test]
 fn each_step_of_a_request_is_told_where_that_is_asked_for() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let told = |program: &Program| -> Vec<&'static str> {
         let log = program.log.0.lock().unwrap();
         log.iter().filter_map(|line| Record::read(line)).map(|r| r.event.name()).collect()
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_session_stands_plays_and_ends() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut viewer = Viewer::new(&program);
     viewer.say(json!({"type": "ping", "id": B, "fields": {}, "cause": 0}));
@@ -112,7 +112,7 @@
 
 #[test]
 fn a_session_handed_over_is_attended_and_its_end_passed_on() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "clip", ";at:s-0");
@@ -127,7 +127,7 @@
 
 #[test]
 fn refusals_and_failures_have_their_causes() {
-    let edge = Edge::start(Manner::Fails);
+    let edge = Edge::start(EdgeBehaviour::Fails);
     let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "paid", "");
@@ -176,7 +176,7 @@
 
 #[test]
 fn what_was_taken_is_answered_after_sigterm() {
-    let edge = Edge::start(Manner::Silent);
+    let edge = Edge::start(EdgeBehaviour::Silent);
     let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "paid", "");
@@ -237,7 +237,7 @@
 /// A board that breaks off is asked anew, from the last event that was heard.
 #[test]
 fn the_board_is_followed_and_asked_anew_after_a_break() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let board = Board::new();
     let program = board.start(&json!({"rev": 4, "notices": []}));
     let (mut first, last) = board.asked();
@@ -256,7 +256,7 @@
 /// that is wound back, and against a reload that touches what waits or plays or that is lost in another one.
 #[test]
 fn a_new_configuration_is_taken_in_while_all_goes_on() {
-    let edge = Edge::start(Manner::Silent);
+    let edge = Edge::start(EdgeBehaviour::Silent);
     let (board, next) = (Board::new(), Board::new());
     let program = board.start(&known(&[&edge]));
     let _first = board.asked();
@@ -294,7 +294,7 @@
 /// A fixed list in an operator's file is taken as a whole when it has changed.
 #[test]
 fn a_fixed_list_is_taken_in_anew() {
-    let (old, new) = (Edge::start(Manner::Answers), Edge::start(Manner::Answers));
+    let (old, new) = (Edge::start(EdgeBehaviour::Answers), Edge::start(EdgeBehaviour::Answers));
     let text = |edge: &Edge| {
         let settings = toml::to_string(&json!({"settings": settings(UNREACHED_DEADLINE_MS)})).unwrap();
         let address = edge.address;
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -39,7 +39,7 @@
 /// Thirty are started together, with discovery up, slow, and down, and with the last list at hand or not.
 #[test]
 fn nine_in_ten_of_thirty_are_ready_within_ten_seconds() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let list = event(1, true, &[("s-0", edge.address, 0, "in_service")]);
     let up = Notices::start();
     up.stand(&list);
@@ -67,7 +67,7 @@
 /// Without any list it can serve nobody. Seen to fail before: it said that it was ready.
 #[test]
 fn ready_is_said_once_a_list_is_there() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let board = Notices::start();
     let program = started(&json!({"rev": 0, "notices": []}), board.address);
     assert_eq!(board.nth_asked(1), 0);
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -158,7 +158,7 @@
 
 #[test]
 fn a_program_serves_from_the_registry_and_leaves_it_at_the_end() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let mut listed = instance("box-a", "UP", edge.address.port());
     listed["metadata"] = json!({"cell": "0", "weight": 4});
     listed["leaseInfo"] = json!({});
@@ -181,7 +181,7 @@
 
 #[test]
 fn a_script_refuses_and_after_its_error_the_broker_goes_on_without_it() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let script = "fn on_request(r) { if r.title == \"shut\" { #{refuse: true, wait_ms: 2500} } }\n\
                   fn on_outcome(o) { if o.outcome == \"plays\" { throw \"enough\" } }";
     let mut text = format!(
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -54,7 +54,7 @@
 /// the broker drains.
 #[test]
 fn a_broken_file_is_taken_not_at_all() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let (program, file) = start(&edge);
     let with = |pointer: &str, value: Value| {
         let mut new = file.clone();
@@ -93,7 +93,7 @@
 
 #[test]
 fn classes_come_change_and_go_under_requests_that_keep_theirs() {
-    let edge = Edge::start(Manner::Silent);
+    let edge = Edge::start(EdgeBehaviour::Silent);
     let (program, mut file) = start(&edge);
     // Under way as a class whose repeat does no harm; the class becomes paid meanwhile.
     let mut under_way = set_up(&program, 1, "clip");
@@ -106,7 +106,7 @@
     let mut strict = set_up(&program, 3, "clip");
     edge.nth_set_up(3);
     // All fail at the server. What may run twice is sent again under the effect it was taken with, the others not.
-    edge.behave(Manner::Answers);
+    edge.set_behaviour(EdgeBehaviour::Answers);
     for id in 1..=3 {
         edge.say(release(amberspindle::api::SessionId(id), 47));
     }
@@ -123,12 +123,12 @@
     file["settings"]["RequestClasses"][1]["Effect"] = json!("read_like");
     file["settings"]["RequestClasses"].as_array_mut().unwrap().pop();
     reread(&program, &file.to_string(), 1, true);
-    edge.behave(Manner::Fails);
+    edge.set_behaviour(EdgeBehaviour::Fails);
     let before = edge.set_ups().len();
     assert_ne!(answer(&mut set_up(&program, 4, "clip"))["type"], "answer");
     assert_eq!(edge.set_ups().len(), before + 1);
     // The class that went is asked for in vain, at the latest after what was on its way has come.
-    edge.behave(Manner::Answers);
+    edge.set_behaviour(EdgeBehaviour::Answers);
     let mut id = 10;
     while answer(&mut set_up(&program, id, "gold"))["type"] == "answer" {
         id += 1;
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -24,7 +24,7 @@
 /// not had their turn were reset.
 #[test]
 fn connections_that_wait_to_be_accepted_are_answered() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = started(&edge, UNREACHED_DEADLINE_MS);
     program.terminate();
     program.logged("stopping");
@@ -55,12 +55,12 @@
 }
 
 fn ask_at_the_end(ms: u64) {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = started(&edge, UNREACHED_DEADLINE_MS);
     let mut client = program.connect("viewer");
     ask_for(&mut client, 1, "paid", 50_000, "plays");
     assert_eq!(final_answer(&mut client, 1).unwrap()["type"], "answer");
-    edge.behave(Manner::Silent);
+    edge.set_behaviour(EdgeBehaviour::Silent);
     program.terminate();
     program.logged("stopping");
     pass(800);
@@ -83,7 +83,7 @@
 /// had waited long enough it ended with those unanswered that it had taken last.
 #[test]
 fn what_was_taken_last_is_answered_though_requests_go_on_coming() {
-    let edge = Edge::start(Manner::Silent);
+    let edge = Edge::start(EdgeBehaviour::Silent);
     let program = started(&edge, 500.0);
     let mut client = program.connect("viewer");
     client.set_nonblocking(true).unwrap();
@@ -130,7 +130,7 @@
 #[test]
 fn further_signals_take_nothing_back_and_cost_no_answer() {
     for before in ["", "drain-on\n", "drain-on\ndrain-off\n"] {
-        let edge = Edge::start(Manner::Silent);
+        let edge = Edge::start(EdgeBehaviour::Silent);
         let program = started(&edge, UNREACHED_DEADLINE_MS);
         let mut client = program.connect("viewer");
         ask_for(&mut client, 1, "paid", 50_000, "open");
@@ -156,7 +156,7 @@
 /// Half a message is no request: it neither keeps the process up nor the connection.
 #[test]
 fn half_a_message_holds_nothing_up() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = started(&edge, UNREACHED_DEADLINE_MS);
     let mut client = program.connect("viewer");
     client.write_all(b"{\"type\":\"setup\",\"id\":\"00000000000").unwrap();
@@ -175,7 +175,7 @@
 /// there already. Seen to fail before: both took them.
 #[test]
 fn a_process_that_ends_sends_a_cold_server_nothing_more() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let mut settings = roomy(UNREACHED_DEADLINE_MS);
     // Sixteen set-ups a second are allowed at the start, of which the pace uses seven in ten.
     settings["FamilyInfo"]["PlacesByKind"] = json!([1000]);
--- a/tests/slow_discovery.rs
+++ b/tests/slow_discovery.rs
@@ -78,7 +78,7 @@
 }
 
 fn takes_the_change_in_time(how: Drips) {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let servers = [("s-0", edge.address, 0, "in_service")];
     let drained = event(2, false, &[("s-0", edge.address, 0, "terminating")]);
     let told = format!("id: 2\ndata: {drained}\n\n");
@@ -97,7 +97,7 @@
 /// A long list over a slow way is waited for as long as it goes on coming.
 #[test]
 fn a_long_list_that_goes_on_coming_is_read_to_its_end() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let names: Vec<String> = (0..4_000).map(|n| format!("s-{n:05}")).collect();
     let state = |n: usize| if n == 0 { "in_service" } else { "terminating" };
     let address = |n: usize| SocketAddr::from(([127, 1, (n / 250) as u8, (n % 250) as u8], 9));
--- a/tests/support/askers.rs
+++ b/tests/support/askers.rs
@@ -40,7 +40,7 @@
 
 /// What clients ask for, and how often.
 #[derive(Clone, Debug)]
-pub struct Manner {
+pub struct RequestProfile {
     pub class: &'static str,
     pub deadline_ms: u64,
     /// Time between two requests of one client.
@@ -57,16 +57,16 @@
 
 impl Askers {
     /// Starts so many clients of an address, which come again when their connection ends.
-    pub fn start(address: SocketAddr, clients: u64, manner: &Manner) -> Askers {
+    pub fn start(address: SocketAddr, clients: u64, manner: &RequestProfile) -> Askers {
         Askers::start_with(address, clients, manner, true)
     }
 
     /// Starts so many clients of an address, which have one connection each.
-    pub fn start_once(address: SocketAddr, clients: u64, manner: &Manner) -> Askers {
+    pub fn start_once(address: SocketAddr, clients: u64, manner: &RequestProfile) -> Askers {
         Askers::start_with(address, clients, manner, false)
     }
 
-    fn start_with(address: SocketAddr, clients: u64, manner: &Manner, again: bool) -> Askers {
+    fn start_with(address: SocketAddr, clients: u64, manner: &RequestProfile, again: bool) -> Askers {
         let goes_on = Arc::new(AtomicBool::new(true));
         let start = |n: u64| {
             let (goes_on, manner) = (goes_on.clone(), manner.clone());
@@ -84,7 +84,7 @@
 
 struct Client {
     address: SocketAddr,
-    manner: Manner,
+    manner: RequestProfile,
     /// Whether it connects once more when its connection has ended.
     again: bool,
     next: u64,
@@ -96,7 +96,7 @@
 }
 
 impl Client {
-    fn new(address: SocketAddr, number: u64, manner: Manner, again: bool) -> Client {
+    fn new(address: SocketAddr, number: u64, manner: RequestProfile, again: bool) -> Client {
         let (open, asked) = (Vec::new(), BTreeMap::new());
         Client { address, manner, again, next: number << 32, stream: None, heard: Vec::new(), open, asked }
     }
@@ -133,7 +133,7 @@
     }
 
     fn ask(&mut self, id: u64, times: usize) {
-        let Manner { class, deadline_ms, extras, .. } = self.manner;
+        let RequestProfile { class, deadline_ms, extras, .. } = self.manner;
         let fields = json!({"class": class, "left": deadline_ms.to_string(), "tenant": "home", "key": "k",
             "extras": extras});
         let line = json!({"type": "setup", "id": format!("{id:016x}"), "sdp": format!("offer {id}"),
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -27,7 +27,7 @@
 
 /// What a stand-in does with a set-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum EdgeBehaviour {
     Answers,
     Full,
     Fails,
@@ -53,7 +53,7 @@
 #[derive(Clone)]
 pub struct Edge {
     pub address: SocketAddr,
-    manner: Arc<Mutex<Manner>>,
+    manner: Arc<Mutex<EdgeBehaviour>>,
     heard: Arc<(Mutex<Heard>, Condvar)>,
 }
 
@@ -62,7 +62,7 @@
 }
 
 impl Edge {
-    pub fn start(manner: Manner) -> Edge {
+    pub fn start(manner: EdgeBehaviour) -> Edge {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let edge = Edge {
             address: listener.local_addr().unwrap(),
@@ -84,7 +84,7 @@
         });
     }
 
-    pub fn behave(&self, manner: Manner) {
+    pub fn set_behaviour(&self, manner: EdgeBehaviour) {
         *self.manner.lock().unwrap() = manner;
     }
 
@@ -107,7 +107,7 @@
                         heard.set_ups.push((id, offer.clone()));
                         heard.times.push(Instant::now());
                         heard.on.push(stream.try_clone().unwrap());
-                        if manner != Manner::Full {
+                        if manner != EdgeBehaviour::Full {
                             heard.ran.push(offer.clone());
                         }
                     }
@@ -119,11 +119,11 @@
                 drop(heard);
                 if kind == Kind::SetUp {
                     match manner {
-                        Manner::Answers => self.write(&mut stream, answer(id, &offer)),
-                        Manner::Full => self.write(&mut stream, release(id, cause::FULL)),
-                        Manner::Fails => self.write(&mut stream, release(id, cause::ERROR)),
-                        Manner::Silent => {}
-                        Manner::Breaks => {
+                        EdgeBehaviour::Answers => self.write(&mut stream, answer(id, &offer)),
+                        EdgeBehaviour::Full => self.write(&mut stream, release(id, cause::FULL)),
+                        EdgeBehaviour::Fails => self.write(&mut stream, release(id, cause::ERROR)),
+                        EdgeBehaviour::Silent => {}
+                        EdgeBehaviour::Breaks => {
                             let _ = stream.shutdown(Shutdown::Both);
                             return;
                         }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -15,10 +15,10 @@
 
 #[test]
 fn what_plays_passes_over_and_what_is_out_is_answered_by_the_old_process() {
-    let (platform, edge) = (Platform::new(), Edge::start(Manner::Answers));
+    let (platform, edge) = (Platform::new(), Edge::start(EdgeBehaviour::Answers));
     let old = platform.serving(&[&edge]);
     let mut first = plays(&platform, 1);
-    edge.behave(Manner::Silent);
+    edge.set_behaviour(EdgeBehaviour::Silent);
     let mut stream = platform.connect();
     ask_for(&mut stream, 2, "paid", 50_000, "offer");
     let mut paid = BufReader::new(stream);
@@ -34,7 +34,7 @@
     assert_eq!(hear(&mut paid), Value::Null);
     // Nobody waits there any more: it leaves, and cuts nothing.
     assert!(old.ended_well());
-    edge.behave(Manner::Answers);
+    edge.set_behaviour(EdgeBehaviour::Answers);
     let mut lines = plays(&platform, 3);
     edge.say_beside(SessionId(3), release(SessionId(1), 16));
     assert_eq!(hear(&mut lines)["id"], "0000000000000001", "its end is told by the new process");
@@ -46,7 +46,7 @@
 /// Guards against a broker that nobody serves, and a paid set-up that is made again, when a new version dies.
 #[test]
 fn the_old_process_serves_again_when_the_new_one_is_killed() {
-    let (platform, edge) = (Platform::new(), Edge::start(Manner::Silent));
+    let (platform, edge) = (Platform::new(), Edge::start(EdgeBehaviour::Silent));
     let old = platform.serving(&[&edge]);
     let mut stream = platform.connect();
     ask_for(&mut stream, 1, "paid", 50_000, "offer");
@@ -60,7 +60,7 @@
     }
     edge.answer_now(SessionId(1));
     assert_eq!(hear(&mut BufReader::new(stream))["type"], "answer");
-    edge.behave(Manner::Answers);
+    edge.set_behaviour(EdgeBehaviour::Answers);
     plays(&platform, 2);
     assert_eq!(edge.ran().len(), 2);
 }
@@ -69,7 +69,7 @@
 /// old one goes on.
 #[test]
 fn a_stopped_old_process_is_not_waited_for_and_yields_when_it_goes_on() {
-    let (platform, edge) = (Platform::new(), Edge::start(Manner::Answers));
+    let (platform, edge) = (Platform::new(), Edge::start(EdgeBehaviour::Answers));
     let old = platform.serving(&[&edge]);
     let first = plays(&platform, 1);
     old.signal("-STOP");
@@ -86,7 +86,7 @@
 
 #[test]
 fn three_versions_in_a_row_lose_nothing() {
-    let (platform, edge) = (Platform::new(), Edge::start(Manner::Answers));
+    let (platform, edge) = (Platform::new(), Edge::start(EdgeBehaviour::Answers));
     let mut versions = vec![platform.serving(&[&edge])];
     for id in 1..=3 {
         plays(&platform, id);
@@ -107,7 +107,7 @@
 
 #[test]
 fn sigterm_at_the_old_process_with_a_paid_set_up_out_loses_neither() {
-    let (platform, edge) = (Platform::new(), Edge::start(Manner::Silent));
+    let (platform, edge) = (Platform::new(), Edge::start(EdgeBehaviour::Silent));
     let old = platform.serving(&[&edge]);
     let mut stream = platform.connect();
     ask_for(&mut stream, 1, "paid", 50_000, "offer");
@@ -130,7 +130,7 @@
 /// What a crashed process left behind, a stranger's file, and a stranger that talks nonsense keep nobody from serving.
 #[test]
 fn stale_files_and_strangers_at_the_meeting_point() {
-    let (platform, edge) = (Platform::new(), Edge::start(Manner::Answers));
+    let (platform, edge) = (Platform::new(), Edge::start(EdgeBehaviour::Answers));
     let crashed = platform.serving(&[&edge]);
     drop(crashed.killed());
     let second = platform.serving(&[&edge]);
--- a/tests/upgrade_ends.rs
+++ b/tests/upgrade_ends.rs
@@ -61,7 +61,7 @@
 /// beyond its last call: who comes then is served by the next version.
 #[test]
 fn a_process_told_to_end_takes_turns_again_when_its_heir_died_and_ends() {
-    let edge = Edge::start(Manner::Silent);
+    let edge = Edge::start(EdgeBehaviour::Silent);
     let platform = Platform::with(cold(&edge, 1000));
     let old = platform.serving(&[&edge]);
     let mut asker = Asker::new(&platform, 1);
@@ -81,7 +81,7 @@
     old.settle();
     assert!(edge.set_ups().iter().all(|(_, offer)| offer != "late"), "it accepts after its last call");
     assert_eq!(old.call("check\n"), "FAILURE ending\n");
-    edge.behave(Manner::Answers);
+    edge.set_behaviour(EdgeBehaviour::Answers);
     let next = platform.serving(&[&edge]);
     old.nth_logged("yields", 1);
     assert_eq!(final_answer(&mut late, 900_001).unwrap()["type"], "answer");
@@ -97,7 +97,7 @@
     // One set-up in 60 s / (0.7 x 100): two turns fit into the time that a process told to end has.
     let turn = Duration::from_secs_f64(60.0 / (0.7 * 100.0));
     for told_to_end in [false, true] {
-        let edge = Edge::start(Manner::Silent);
+        let edge = Edge::start(EdgeBehaviour::Silent);
         let platform = Platform::with(cold(&edge, 100));
         let old = platform.serving(&[&edge]);
         let mut asker = Asker::new(&platform, 1);
@@ -124,7 +124,7 @@
 #[test]
 fn an_heir_that_dies_before_it_took_its_place_is_no_heir() {
     for said in ["", "{\"say\":\"left\",\"id\":77}\n", "{\"say\":\"le"] {
-        let (platform, edge) = (Platform::new(), Edge::start(Manner::Silent));
+        let (platform, edge) = (Platform::new(), Edge::start(EdgeBehaviour::Silent));
         let old = platform.serving(&[&edge]);
         let mut waits = platform.connect();
         ask_for(&mut waits, 1, "paid", 50_000, "waits");
@@ -141,7 +141,7 @@
         lines.get_mut().write_all(said.as_bytes()).unwrap();
         drop(lines);
         old.logged("serves again");
-        edge.behave(Manner::Answers);
+        edge.set_behaviour(EdgeBehaviour::Answers);
         plays(&platform, 2);
         edge.answer_now(SessionId(1));
         assert_eq!(final_answer(&mut waits, 1).unwrap()["type"], "answer");
--- a/tests/upgrade_seeds.rs
+++ b/tests/upgrade_seeds.rs
@@ -70,7 +70,7 @@
     let mut rng = Rng::with_seed(seed);
     let plan = plan(seed, &mut rng);
     let versions = if seed.is_multiple_of(3) { 3 } else { 2 };
-    let edge = Edge::start(Manner::Silent);
+    let edge = Edge::start(EdgeBehaviour::Silent);
     let answers = answer_late(&edge, seed);
     let mut settings = roomy(UNREACHED_DEADLINE_MS);
     settings["FamilyInfo"]["PlacesByKind"] = json!([1000]);
--- a/tests/watched.rs
+++ b/tests/watched.rs
@@ -110,7 +110,7 @@
 /// The broker never uses anything but the old whole list or the new whole one.
 #[test]
 fn a_writer_that_stops_at_every_byte_is_never_believed() {
-    let (one, two) = (Edge::start(Manner::Answers), Edge::start(Manner::Answers));
+    let (one, two) = (Edge::start(EdgeBehaviour::Answers), Edge::start(EdgeBehaviour::Answers));
     let (old, new) = (list(&[("one", &one, "")]), list(&[("two", &two, "weight = 2.0")]));
     let broker = Broker::start(&format!("{ASKED}\nhold_ms = 0"), &old);
     let mut words = 1;
@@ -147,7 +147,7 @@
 /// The weights of one generation with the servers of another, in either order, and a crash between two renames.
 #[test]
 fn weights_and_servers_of_two_generations_are_never_used_together() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let set = |weight: u32, more: &str| {
         let texts = [server("one", &edge, 0, more), format!("[weights]\none = {weight}\n")];
         seal::close_all(texts.iter().map(|t| (t.as_bytes(), Comment::Hash)))
@@ -192,7 +192,7 @@
 #[test]
 fn a_list_is_noticed_however_it_comes() {
     for watch in [NEVER, LOOKS] {
-        let edges: Vec<Edge> = (0..6).map(|_| Edge::start(Manner::Answers)).collect();
+        let edges: Vec<Edge> = (0..6).map(|_| Edge::start(EdgeBehaviour::Answers)).collect();
         let lists: Vec<Vec<u8>> =
             edges.iter().map(|edge| list(&[("keep", &edges[0], ""), ("own", edge, "")])).collect();
         // One that shares its first server's address is no list: the first is a list of one.
@@ -234,7 +234,7 @@
 
 #[test]
 fn what_is_no_file_is_refused_and_the_list_stays() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let broker = Broker::start(&format!("{ASKED}\nmost_kb = 4"), &list(&[("one", &edge, "")]));
     let path = &broker.list;
     let mut words = 1;
@@ -274,7 +274,7 @@
 #[test]
 fn a_server_that_a_list_drains_drops_or_ends_gets_nothing_new() {
     for (more, ends) in [("state = \"draining\"", false), ("", false), ("state = \"gone\"", true)] {
-        let edges: Vec<Edge> = (0..3).map(|_| Edge::start(Manner::Answers)).collect();
+        let edges: Vec<Edge> = (0..3).map(|_| Edge::start(EdgeBehaviour::Answers)).collect();
         let named = |leaves: &str| {
             let mut all = vec![("b", &edges[1], ""), ("c", &edges[2], "")];
             if !leaves.is_empty() {
@@ -334,7 +334,7 @@
 /// Twenty starts during one rewrite come up with the old list or the new one, none with a mix and none with nothing.
 #[test]
 fn restarts_in_the_middle_of_a_rewrite_find_one_whole_list() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let (old, new) = (list(&[("one", &edge, "")]), list(&[("two", &edge, "weight = 3.0")]));
     let watch = format!("state = \"state\"\nhold_ms = 0\n{NEVER}");
     let broker = Broker::start(&watch, &old);
@@ -387,7 +387,7 @@
 
 #[test]
 fn a_damaged_state_is_set_aside_and_the_file_or_nothing_is_used() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let good = list(&[("one", &edge, "")]);
     let watch = format!("state = \"state\"\n{NEVER}");
     let broker = Broker::start(&watch, &good);
@@ -413,7 +413,7 @@
 
 #[test]
 fn a_list_that_drops_most_servers_is_held_back_and_taken_once_it_has_stood() {
-    let edges: Vec<Edge> = (0..3).map(|_| Edge::start(Manner::Answers)).collect();
+    let edges: Vec<Edge> = (0..3).map(|_| Edge::start(EdgeBehaviour::Answers)).collect();
     let all = list(&[("a", &edges[0], ""), ("b", &edges[1], ""), ("c", &edges[2], "")]);
     let one = list(&[("a", &edges[0], "")]);
     let broker = Broker::start(&format!("{NEVER}\nhold_ms = 400"), &all);
@@ -427,7 +427,7 @@
 /// A server that comes back under its name at another address is another one.
 #[test]
 fn a_server_at_another_address_is_a_new_one() {
-    let (old, new) = (Edge::start(Manner::Answers), Edge::start(Manner::Answers));
+    let (old, new) = (Edge::start(EdgeBehaviour::Answers), Edge::start(EdgeBehaviour::Answers));
     let broker = Broker::start(NEVER, &list(&[("a", &old, "")]));
     let made = broker.play();
     broker.rename(&list(&[("a", &new, "")]));
@@ -441,7 +441,7 @@
 
 #[test]
 fn titles_and_the_script_are_taken_while_all_goes_on() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let files = tempdir::Dir::new();
     fs::create_dir(files.0.join("lists")).unwrap();
     let write = |dir: &Path, names: &[&str], hook: &str| {
@@ -477,7 +477,7 @@
 
 #[test]
 fn a_file_without_a_seal_is_taken_by_a_rename_where_that_is_allowed() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let plain = |id: &str| server(id, &edge, 0, "").into_bytes();
     let watch = format!("unsealed = true\nstate = \"state\"\nhold_ms = 0\n{NEVER}");
     let broker = Broker::start(&watch, &plain("one"));
@@ -497,7 +497,7 @@
 
 #[test]
 fn the_log_may_be_json_with_an_event_and_its_fields() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let broker = Broker::with_log(NEVER, &list(&[("one", &edge, "")]), &["--log-format", "json"]);
     let line = broker.program.logged("list.taken");
     let value: serde_json::Value = serde_json::from_str(&line).unwrap();
@@ -535,7 +535,7 @@
 /// What `check` said "the configuration can work" to.
 #[test]
 fn check_names_each_finding_on_a_line_of_its_own() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let files = tempdir::Dir::new();
     let settings =
         toml::to_string(&serde_json::json!({"settings": settings(UNREACHED_DEADLINE_MS)})).unwrap();
@@ -577,7 +577,7 @@
 
 #[test]
 fn seal_writes_the_mark_that_check_asks_for() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let files = tempdir::Dir::new();
     let settings =
         toml::to_string(&serde_json::json!({"settings": settings(UNREACHED_DEADLINE_MS)})).unwrap();
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -29,7 +29,7 @@
 /// The old place has said half an event when discovery moves, and says the rest after.
 #[test]
 fn what_the_old_place_says_after_discovery_moved_is_not_heard() {
-    let edges = [Edge::start(Manner::Answers), Edge::start(Manner::Answers)];
+    let edges = [Edge::start(EdgeBehaviour::Answers), Edge::start(EdgeBehaviour::Answers)];
     let (old, new) = (Notices::start(), Notices::start());
     let known = known_of(&event(1, true, &[("s-0", edges[0].address, 0, "in_service")]));
     let more = json!({"console": "127.0.0.1:0", "settings": roomy(UNREACHED_DEADLINE_MS), "known": known,
@@ -64,7 +64,7 @@
 /// A watch that stays open and says nothing is asked anew, from the last event that was heard.
 #[test]
 fn a_watch_that_falls_silent_is_asked_anew() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let board = Notices::start();
     let known = known_of(&event(1, true, &[("s-0", edge.address, 0, "in_service")]));
     let more = json!({"console": "127.0.0.1:0", "settings": roomy(UNREACHED_DEADLINE_MS), "known": known, "board": board.address.to_string()});
@@ -82,7 +82,7 @@
 /// Fewer attempts are allowed while one is out: what it has made counts, and no further one begins.
 #[test]
 fn fewer_attempts_allowed_meanwhile_hold_for_a_request_that_is_out() {
-    let edges = [Edge::start(Manner::Silent), Edge::start(Manner::Silent)];
+    let edges = [Edge::start(EdgeBehaviour::Silent), Edge::start(EdgeBehaviour::Silent)];
     let more = json!({"console": "127.0.0.1:0", "settings": roomy(UNREACHED_DEADLINE_MS)});
     let program =
         Program::platform_more(&[&edges[0], &edges[1]], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
--- a/tests/whip.rs
+++ b/tests/whip.rs
@@ -15,7 +15,7 @@
 
 #[test]
 fn a_session_is_set_up_and_deleted() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "");
     let made = ask(&program, "POST", "/whep/guide", Some(OFFER));
     let id = edge.nth_set_up(1);
@@ -37,7 +37,7 @@
 
 #[test]
 fn what_can_not_be_served_is_told_why_on_one_connection() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "");
     let mut stream = program.connect("http");
     let mut on = |request: Vec<u8>| {
@@ -67,7 +67,7 @@
 
 #[test]
 fn a_booking_is_set_up_once_whatever_is_repeated() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "");
     let first = ask(&program, "POST", BOOKING, Some(OFFER));
     let again = ask(&program, "POST", BOOKING, Some(OFFER));
@@ -82,12 +82,12 @@
 
 #[test]
 fn full_servers_lead_to_a_refusal_and_the_booking_stays_free() {
-    let edge = Edge::start(Manner::Full);
+    let edge = Edge::start(EdgeBehaviour::Full);
     let program = Program::whip(&[&edge], 800.0, "");
     let refused = ask(&program, "POST", BOOKING, Some(OFFER));
     assert_eq!(refused.status, 503);
     assert!(refused.header("retry-after").unwrap().parse::<u64>().unwrap() >= 1);
-    edge.behave(Manner::Answers);
+    edge.set_behaviour(EdgeBehaviour::Answers);
     // The server that was full is left alone for a while: a refusal in between does no harm.
     let made = std::iter::repeat_with(|| ask(&program, "POST", BOOKING, Some(OFFER)).status);
     assert_eq!(made.take(20).find(|s| *s != 503), Some(201));
@@ -96,14 +96,14 @@
 #[test]
 fn a_paid_set_up_that_may_have_run_is_not_sent_again() {
     for (manner, deadline, status) in [
-        (Manner::Fails, UNREACHED_DEADLINE_MS, 502),
-        (Manner::Breaks, UNREACHED_DEADLINE_MS, 502),
-        (Manner::Silent, 1500.0, 504),
+        (EdgeBehaviour::Fails, UNREACHED_DEADLINE_MS, 502),
+        (EdgeBehaviour::Breaks, UNREACHED_DEADLINE_MS, 502),
+        (EdgeBehaviour::Silent, 1500.0, 504),
     ] {
         let edges = [Edge::start(manner), Edge::start(manner)];
         let program = Program::whip(&[&edges[0], &edges[1]], deadline, "");
         assert_eq!(ask(&program, "POST", BOOKING, Some(OFFER)).status, status, "{manner:?}");
-        edges.iter().for_each(|e| e.behave(Manner::Answers));
+        edges.iter().for_each(|e| e.set_behaviour(EdgeBehaviour::Answers));
         assert_eq!(ask(&program, "POST", BOOKING, Some(OFFER)).status, status, "the answer it had");
         assert_eq!(edges.iter().map(|e| e.set_ups().len()).sum::<usize>(), 1, "{manner:?}");
     }
@@ -111,7 +111,7 @@
 
 #[test]
 fn a_delete_during_an_attempt_gives_one_answer_and_releases_a_late_one() {
-    let edge = Edge::start(Manner::Silent);
+    let edge = Edge::start(EdgeBehaviour::Silent);
     let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "");
     let mut post = program.connect("http");
     post.write_all(&http("POST", BOOKING, Some(OFFER))).unwrap();
@@ -130,7 +130,7 @@
 
 #[test]
 fn a_paid_set_up_outlives_its_connection_and_can_be_claimed() {
-    let edge = Edge::start(Manner::Silent);
+    let edge = Edge::start(EdgeBehaviour::Silent);
     let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "");
     let mut post = program.connect("http");
     post.write_all(&http("POST", BOOKING, Some(OFFER))).unwrap();
@@ -145,7 +145,7 @@
 
 #[test]
 fn a_paid_session_that_nobody_claims_is_released_and_an_unpaid_one_given_up() {
-    let edge = Edge::start(Manner::Silent);
+    let edge = Edge::start(EdgeBehaviour::Silent);
     let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "reclaim_ms = 50");
     for (n, path) in [BOOKING, "/whep/guide"].into_iter().enumerate() {
         let mut post = program.connect("http");
@@ -166,12 +166,18 @@
 #[test]
 fn connections_cut_at_random_points_never_set_a_paid_session_up_twice() {
     let mut rng = fastrand::Rng::with_seed(0x5eed);
-    let manners = [Manner::Answers, Manner::Answers, Manner::Fails, Manner::Breaks, Manner::Full];
-    let edges: Vec<Edge> = (0..3).map(|_| Edge::start(Manner::Answers)).collect();
+    let manners = [
+        EdgeBehaviour::Answers,
+        EdgeBehaviour::Answers,
+        EdgeBehaviour::Fails,
+        EdgeBehaviour::Breaks,
+        EdgeBehaviour::Full,
+    ];
+    let edges: Vec<Edge> = (0..3).map(|_| Edge::start(EdgeBehaviour::Answers)).collect();
     let program = Program::whip(&edges.iter().collect::<Vec<_>>(), 1000.0, "");
     let mut stood = BTreeMap::new();
     for n in 0..60 {
-        edges.iter().for_each(|e| e.behave(manners[rng.usize(..manners.len())]));
+        edges.iter().for_each(|e| e.set_behaviour(manners[rng.usize(..manners.len())]));
         let offer = format!("{OFFER}a=booking:{n}\r\n");
         let path = format!("/whip/walk/bookings/r-{n}");
         let request = http("POST", &path, Some(&offer));
