--- a/benches/watched.rs
+++ b/benches/watched.rs
@@ -88,7 +88,7 @@
         .collect();
     let mut first = Histogram::<u64>::new(3).unwrap();
     let mut last = Histogram::<u64>::new(3).unwrap();
-    edges[0].nth_set_up(1);
+    edges[0].wait_for_set_up(1);
     for run in 1..=RUNS {
         let (new, old) = (&edges[run % 2], &edges[(run + 1) % 2]);
         let path = program.files.0.join("servers.toml");
@@ -97,7 +97,7 @@
         let had = new.times().len();
         let renamed = Instant::now();
         fs::rename(&beside, &path).unwrap();
-        new.nth_set_up(had + 1);
+        new.wait_for_set_up(had + 1);
         std::thread::sleep(SETTLED);
         let micros = |at: Instant| at.saturating_duration_since(renamed).as_micros() as u64;
         first.record(micros(new.times()[had]).max(1)).unwrap();
--- a/tests/attempt_ends.rs
+++ b/tests/attempt_ends.rs
@@ -90,7 +90,7 @@
         .zip(0..)
         .map(|((at, name), cell)| (name, *at, cell, "in_service"))
         .collect();
-    known_of(&event(1, true, &servers))
+    known_from_event(&event(1, true, &servers))
 }
 
 /// Seen with the report c7ba89 as its headline: the end of an attempt lay behind a full buffer while the next attempt of
@@ -99,11 +99,11 @@
 fn a_second_attempt_never_overtakes_the_end_of_the_first_behind_a_full_buffer() {
     let listener = SlowReader::listen();
     let other = Edge::start(EdgeBehaviour::Answers);
-    let mut settings = roomy(DEADLINE_MS);
+    let mut settings = settings_with_spare_uplink(DEADLINE_MS);
     settings["FamilyInfo"]["LadderKb"] = json!([0.1, 0.2]);
     let addresses = [listener.local_addr().unwrap(), other.address];
     let more = json!({"console": "127.0.0.1:0", "settings": settings, "known": known_addresses(&addresses)});
-    let program = Program::platform_more(&[&other], DEADLINE_MS, &more, &["viewer", "console"]);
+    let program = Program::platform_with_config(&[&other], DEADLINE_MS, &more, &["viewer", "console"]);
     let mut client = program.connect("viewer");
     (1..=ASKED).for_each(|id| ask_of(&mut client, id, "clip", 2, "offer"));
     let mut slow = SlowReader::accepted(&listener);
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -16,7 +16,7 @@
 }
 
 fn settings_of(classes: &[Value], tenants: &[&str]) -> Value {
-    let mut settings = roomy(UNREACHED_DEADLINE_MS);
+    let mut settings = settings_with_spare_uplink(UNREACHED_DEADLINE_MS);
     settings["RequestClasses"] = json!(classes);
     settings["Tenants"] = tenants.iter().map(|name| json!({"Name": name})).collect();
     settings
@@ -24,7 +24,7 @@
 
 fn started(edge: &Edge, settings: &Value) -> Program {
     let more = json!({"console": "127.0.0.1:0", "settings": settings});
-    Program::platform_more(&[edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"])
+    Program::platform_with_config(&[edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"])
 }
 
 fn ask_as(stream: &mut TcpStream, id: u64, class: &str, tenant: Option<&str>) -> Value {
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -31,13 +31,13 @@
 #[test]
 fn a_request_that_was_turned_away_is_refused_before_its_time_is_up() {
     let edges: Vec<Edge> = (0..CELLS).map(|_| Edge::start(EdgeBehaviour::Full)).collect();
-    let mut settings = roomy(DEADLINE_MS as f64);
+    let mut settings = settings_with_spare_uplink(DEADLINE_MS as f64);
     settings["Period"] = json!(1.0);
     settings["FamilyInfo"]["Places"] = json!(CELLS);
     settings["Limits"]["AttemptsCap"] = json!(8);
     let edges: Vec<&Edge> = edges.iter().collect();
     let more = json!({"settings": settings});
-    let program = Program::platform_more(&edges, DEADLINE_MS as f64, &more, &["viewer"]);
+    let program = Program::platform_with_config(&edges, DEADLINE_MS as f64, &more, &["viewer"]);
     let mut client = program.connect("viewer");
     let asked = Instant::now();
     (0..CELLS).for_each(|cell| ask_cell(&mut client, cell));
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -14,8 +14,8 @@
 const CONSOLE: &str = "127.0.0.1:0";
 
 fn started(edges: &[&Edge]) -> Program {
-    let more = json!({"console": CONSOLE, "settings": roomy(UNREACHED_DEADLINE_MS)});
-    Program::platform_more(edges, UNREACHED_DEADLINE_MS, &more, &["viewer", "console"])
+    let more = json!({"console": CONSOLE, "settings": settings_with_spare_uplink(UNREACHED_DEADLINE_MS)});
+    Program::platform_with_config(edges, UNREACHED_DEADLINE_MS, &more, &["viewer", "console"])
 }
 
 /// A session plays at each server, so that a connection to each is up. The clients stay as long as what is given.
@@ -23,7 +23,7 @@
     let warm = |(cell, edge): (usize, &&Edge)| {
         let mut client = program.connect("viewer");
         edge.set_behaviour(EdgeBehaviour::Answers);
-        ask_in(&mut client, 100 + cell as u64, cell, "warm");
+        send_set_up_for_cell(&mut client, 100 + cell as u64, cell, "warm");
         assert_eq!(final_answer(&mut client, 100 + cell as u64).unwrap()["type"], "answer");
         client
     };
@@ -72,14 +72,14 @@
         let mut client = program.connect("viewer");
         let other = program.connect("viewer");
         let mut later = program.connect("viewer");
-        ask_for(&mut client, 1, "clip", 50_000, "held");
-        edge.nth_set_up(2);
+        send_set_up(&mut client, 1, "clip", 50_000, "held");
+        edge.wait_for_set_up(2);
         program.settle();
         let _open = program.while_stopped(|| {
             edge.set_behaviour(EdgeBehaviour::Answers);
             // The time of the next look at held requests comes, and another client's request goes before the end.
             pass(700);
-            ask_for(&mut later, 2, "clip", 50_000, "later");
+            send_set_up(&mut later, 2, "clip", 50_000, "later");
             leave(how, client, other, 1)
         });
         assert_eq!(final_answer(&mut later, 2).unwrap()["type"], "answer");
@@ -98,7 +98,7 @@
         edges.iter().for_each(|e| e.set_behaviour(EdgeBehaviour::Silent));
         let mut client = program.connect("viewer");
         let other = program.connect("viewer");
-        ask_for(&mut client, 1, "paid", 50_000, "paid");
+        send_set_up(&mut client, 1, "paid", 50_000, "paid");
         let first = loop {
             if let Some(i) = edges.iter().position(|e| !ran(e).is_empty()) {
                 break i;
@@ -107,14 +107,17 @@
         };
         program.settle();
         let _open = program.while_stopped(|| {
-            edges[first].say_beside(SessionId(1), release(SessionId(1), amberspindle::message::cause::FULL));
+            edges[first].send_on_connection_of(
+                SessionId(1),
+                release(SessionId(1), amberspindle::message::cause::FULL),
+            );
             leave(how, client, other, 1)
         });
         program.settle();
         program.settle();
         let mut later = program.connect("viewer");
         edges.iter().for_each(|e| e.set_behaviour(EdgeBehaviour::Answers));
-        ask_for(&mut later, 2, "clip", 50_000, "later");
+        send_set_up(&mut later, 2, "clip", 50_000, "later");
         assert_eq!(final_answer(&mut later, 2).unwrap()["type"], "answer");
         assert!(!ran(&edges[1 - first]).contains(&"paid".to_owned()), "{how:?}: a further attempt began");
     }
@@ -131,14 +134,14 @@
         let other = program.connect("viewer");
         program.settle();
         let _open = program.while_stopped(|| {
-            ask_for(&mut client, 1, "paid", 50_000, "gone");
+            send_set_up(&mut client, 1, "paid", 50_000, "gone");
             let open = leave(how, client, other, 1);
             pass(200);
             open
         });
         program.settle();
         let mut later = program.connect("viewer");
-        ask_for(&mut later, 2, "clip", 50_000, "later");
+        send_set_up(&mut later, 2, "clip", 50_000, "later");
         assert_eq!(final_answer(&mut later, 2).unwrap()["type"], "answer");
         let ran = ran(&edge);
         // A release on another connection may be read before the request: it names nothing that is known then.
@@ -150,14 +153,15 @@
 #[test]
 fn a_late_connection_carries_nothing_of_a_client_that_left() {
     for how in [Leaves::Closes, Leaves::Cancels] {
-        let clogged = Clogged::new();
+        let clogged = FullAcceptQueue::new();
         let edge = Edge::start(EdgeBehaviour::Answers);
-        let known = known_of(&event(1, true, &[("s-0", clogged.address(), 0, "in_service")]));
-        let more = json!({"console": CONSOLE, "known": known, "settings": roomy(UNREACHED_DEADLINE_MS)});
-        let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
+        let known = known_from_event(&event(1, true, &[("s-0", clogged.address(), 0, "in_service")]));
+        let more = json!({"console": CONSOLE, "known": known, "settings": settings_with_spare_uplink(UNREACHED_DEADLINE_MS)});
+        let program =
+            Program::platform_with_config(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
         let mut client = program.connect("viewer");
         let other = program.connect("viewer");
-        ask_for(&mut client, 1, "paid", 50_000, "gone");
+        send_set_up(&mut client, 1, "paid", 50_000, "gone");
         program.settle();
         let _open = program.while_stopped(|| {
             let open = leave(how, client, other, 1);
@@ -168,7 +172,7 @@
         });
         program.settle();
         let mut later = program.connect("viewer");
-        ask_for(&mut later, 2, "clip", 50_000, "later");
+        send_set_up(&mut later, 2, "clip", 50_000, "later");
         assert_eq!(final_answer(&mut later, 2).unwrap()["type"], "answer");
         assert_eq!(edge.ran(), ["later"], "{how:?}");
     }
@@ -188,7 +192,7 @@
     edge.set_behaviour(EdgeBehaviour::Full);
     let mut client = program.connect("http");
     client.write_all(&http("POST", path, Some(offer))).unwrap();
-    edge.nth_set_up(2);
+    edge.wait_for_set_up(2);
     assert_eq!(ask(&program, "POST", "/whep/none", Some(offer)).status, 404);
     let mut later = program.connect("http");
     program.while_stopped(|| {
--- a/tests/derived.rs
+++ b/tests/derived.rs
@@ -28,19 +28,19 @@
 }
 
 /// Two servers in two cells, and a board that can take one away.
-fn started(first: &Edge, second: &Edge) -> (Program, Notices) {
-    let board = Notices::start();
+fn started(first: &Edge, second: &Edge) -> (Program, NoticeBoard) {
+    let board = NoticeBoard::start();
     let both = [("s-0", first.address, 0, "in_service"), ("s-1", second.address, 1, "in_service")];
-    let more = json!({"console": "127.0.0.1:0", "settings": roomy(UNREACHED_DEADLINE_MS), "known": known_of(&event(1, true, &both)),
+    let more = json!({"console": "127.0.0.1:0", "settings": settings_with_spare_uplink(UNREACHED_DEADLINE_MS), "known": known_from_event(&event(1, true, &both)),
         "board": board.address.to_string()});
-    let program = Program::platform_more(&[], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
-    board.nth_asked(1);
+    let program = Program::platform_with_config(&[], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
+    board.wait_for_request(1);
     (program, board)
 }
 
 /// Takes the first server off the list. A board that says nothing for a while is asked anew, and what it says in between
 /// reaches nobody: it says so until it is heard.
-fn end_first(program: &Program, board: &Notices, first: &Edge) {
+fn end_first(program: &Program, board: &NoticeBoard, first: &Edge) {
     let heard = || program.log.0.lock().unwrap().iter().any(|line| line.contains("generation=2"));
     while !heard() {
         board.tell(&event(2, false, &[("s-0", first.address, 0, "terminated")]));
@@ -66,11 +66,11 @@
     let (program, board) = started(&first, &second);
     let mut client = program.connect("viewer");
     name_sessions(&mut client);
-    ask_in(&mut client, MANY + 1, 1, "waits");
-    assert_eq!(second.nth_set_up(1), SessionId(MANY + 1));
+    send_set_up_for_cell(&mut client, MANY + 1, 1, "waits");
+    assert_eq!(second.wait_for_set_up(1), SessionId(MANY + 1));
     end_first(&program, &board, &first);
     hear_ends(&mut client);
-    second.answer_now(SessionId(MANY + 1));
+    second.send_answer(SessionId(MANY + 1));
     assert_eq!(final_answer(&mut client, MANY + 1).unwrap()["type"], "answer");
 }
 
@@ -84,10 +84,10 @@
     client.write_all(ping().as_bytes()).unwrap();
     assert_eq!(line(&mut client).unwrap()["type"], "pong", "all were read");
     drop(client);
-    program.logged("peer=viewer");
+    program.wait_for_log("peer=viewer");
     end_first(&program, &board, &first);
     let mut next = program.connect("viewer");
-    ask_in(&mut next, MANY + 1, 1, "next");
+    send_set_up_for_cell(&mut next, MANY + 1, 1, "next");
     hear_ends(&mut next);
     assert_eq!(final_answer(&mut next, MANY + 1).unwrap()["type"], "answer");
 }
@@ -108,12 +108,12 @@
 fn a_client_that_stands_still_for_less_than_its_deadline_has_its_answer() {
     const PINGS: usize = 60_000;
     let edge = Edge::start(EdgeBehaviour::Answers);
-    let more = json!({"settings": roomy(10_000.0)});
-    let program = Program::platform_more(&[&edge], 10_000.0, &more, &["viewer"]);
+    let more = json!({"settings": settings_with_spare_uplink(10_000.0)});
+    let program = Program::platform_with_config(&[&edge], 10_000.0, &more, &["viewer"]);
     let mut client = narrow_client(program.fronts["viewer"]);
     client.write_all(ping().repeat(PINGS).as_bytes()).unwrap();
-    ask_for(&mut client, 1, "clip", 10_000, "waits");
-    edge.nth_set_up(1);
+    send_set_up(&mut client, 1, "clip", 10_000, "waits");
+    edge.wait_for_set_up(1);
     pass(3_500);
     assert_eq!(final_answer(&mut client, 1).expect("the connection stays")["type"], "answer");
 }
@@ -123,21 +123,22 @@
 fn a_herd_that_waits_to_be_accepted_at_the_end_is_answered_as_room_comes() {
     let edge = Edge::start(EdgeBehaviour::Silent);
     let limits = json!({"sockets": 64, "memory_mb": 192});
-    let more = json!({"console": "127.0.0.1:0", "settings": roomy(UNREACHED_DEADLINE_MS), "limits": limits});
-    let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
+    let more = json!({"console": "127.0.0.1:0", "settings": settings_with_spare_uplink(UNREACHED_DEADLINE_MS), "limits": limits});
+    let program =
+        Program::platform_with_config(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     let come = |ids: std::ops::RangeInclusive<u64>| -> Vec<(u64, TcpStream)> {
         let ask = |id| {
             let mut client = program.connect("viewer");
-            ask_for(&mut client, id, "clip", 50_000, "waits");
+            send_set_up(&mut client, id, "clip", 50_000, "waits");
             (id, client)
         };
         ids.map(ask).collect()
     };
     // All the room for clients is taken by those that wait for their answers.
     let early = come(1..=32);
-    edge.nth_set_up(32);
+    edge.wait_for_set_up(32);
     program.terminate();
-    program.logged("stopping");
+    program.wait_for_log("stopping");
     let herd = program.while_stopped(|| {
         let herd = come(33..=132);
         // The time for which connections keep coming is over.
@@ -145,7 +146,7 @@
         herd
     });
     edge.set_behaviour(EdgeBehaviour::Answers);
-    (1..=32).for_each(|id| edge.answer_now(SessionId(id)));
+    (1..=32).for_each(|id| edge.send_answer(SessionId(id)));
     let clients = early.into_iter().chain(herd);
     let heard = clients.filter_map(|(id, mut client)| final_answer(&mut client, id)).count();
     assert_eq!(heard, 132, "so many were answered");
@@ -157,7 +158,7 @@
     let edge = Edge::start(EdgeBehaviour::Answers);
     let class =
         |name: &str| json!({"Name": name, "Slo": 3_000.0, "Deadline": 10_000.0, "Effect": "read_like"});
-    let mut settings = roomy(10_000.0);
+    let mut settings = settings_with_spare_uplink(10_000.0);
     settings["RequestClasses"] = json!([class("clip"), class("trailer")]);
     let mut written: Value = config(&[&edge], 10_000.0);
     written["settings"] = settings;
@@ -167,9 +168,9 @@
     written["settings"]["RequestClasses"] = json!([class("clip")]);
     program.files.write("config.json", &written.to_string());
     program.hang_up();
-    program.logged("reloaded");
+    program.wait_for_log("reloaded");
     pass(3_000);
     let mut client = program.connect("viewer");
-    ask_for(&mut client, 1, "trailer", 7_000, "late");
+    send_set_up(&mut client, 1, "trailer", 7_000, "late");
     assert_eq!(final_answer(&mut client, 1).unwrap()["type"], "answer");
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -38,7 +38,7 @@
 }
 
 fn config_of(known: serde_json::Value, board: SocketAddr) -> serde_json::Value {
-    let mut settings = roomy(UNREACHED_DEADLINE_MS);
+    let mut settings = settings_with_spare_uplink(UNREACHED_DEADLINE_MS);
     settings["FamilyInfo"]["Places"] = json!(64);
     json!({"name": "n1", "listen": "127.0.0.1:0", "console": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
         "settings": settings, "known": known, "board": board.to_string()})
@@ -93,7 +93,7 @@
     let board = place.local_addr().unwrap();
     let program = started(&config_of(json!({"rev": 0, "notices": []}), board));
     let mut waits = program.connect("viewer");
-    ask_for(&mut waits, 1, "paid", 50_000, "waits");
+    send_set_up(&mut waits, 1, "paid", 50_000, "waits");
     program.settle();
     let over = Arc::new(AtomicBool::new(false));
     let filler = fill(program.fronts["viewer"], &over);
@@ -106,18 +106,18 @@
     assert!(ticks(&program) - before < 50, "it spins: {} ticks in a second", ticks(&program) - before);
     assert!(!program.call("check\n").is_empty(), "the second address has its own part");
     listen(&place, 16).unwrap();
-    let board = Notices::on(place);
-    board.nth_asked(1);
+    let board = NoticeBoard::on(place);
+    board.wait_for_request(1);
     board.tell(&event(1, true, &[("s-0", edge.address, 0, "in_service")]));
     assert_eq!(final_answer(&mut waits, 1).unwrap()["type"], "answer", "a request on an open connection");
     let mut new = program.connect("viewer");
-    ask_for(&mut new, 2, "clip", 50_000, "new");
+    send_set_up(&mut new, 2, "clip", 50_000, "new");
     assert_eq!(final_answer(&mut new, 2).unwrap()["type"], "answer", "a new client gets room");
     // Discovery goes in the middle, and comes back.
     board.hang_up();
-    board.nth_asked(2);
+    board.wait_for_request(2);
     board.tell(&event(2, false, &[("s-0", edge.address, 0, "terminating")]));
-    program.logged("generation=2");
+    program.wait_for_log("generation=2");
     assert!(descriptors() <= LIMIT);
     over.store(true, Ordering::Relaxed);
     filler.join().unwrap();
@@ -145,9 +145,9 @@
     }
     let named: Vec<(&str, SocketAddr, u32, &str)> =
         servers.iter().zip(0..).map(|((id, at), cell)| (id.as_str(), *at, cell, "in_service")).collect();
-    let board = Notices::start();
-    let program = started(&config_of(known_of(&event(1, true, &named)), board.address));
-    board.nth_asked(1);
+    let board = NoticeBoard::start();
+    let program = started(&config_of(known_from_event(&event(1, true, &named)), board.address));
+    board.wait_for_request(1);
     let mut client = program.connect("viewer");
     let mut stand = 0;
     for cell in 0..24 {
@@ -157,7 +157,7 @@
     }
     assert!(stand >= 8, "{stand} sessions stand");
     board.tell(&event(2, false, &[("s-0", servers[0].1, 0, "terminating")]));
-    program.logged("generation=2");
+    program.wait_for_log("generation=2");
     assert!(!program.call("check\n").is_empty());
     let mut new = program.connect("viewer");
     ask_soon(&mut new, 100, 1);
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -11,12 +11,12 @@
 
 const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
-fn started(edges: &[&Edge], servers: &[(&str, SocketAddr, u32, &str)], board: &Notices) -> Program {
-    let settings = roomy(UNREACHED_DEADLINE_MS);
+fn started(edges: &[&Edge], servers: &[(&str, SocketAddr, u32, &str)], board: &NoticeBoard) -> Program {
+    let settings = settings_with_spare_uplink(UNREACHED_DEADLINE_MS);
     let more = json!({"console": "127.0.0.1:0", "settings": settings, "board": board.address.to_string(),
-        "known": known_of(&event(1, true, servers))});
-    let program = Program::platform_more(edges, UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
-    assert_eq!(board.nth_asked(1), 1);
+        "known": known_from_event(&event(1, true, servers))});
+    let program = Program::platform_with_config(edges, UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
+    assert_eq!(board.wait_for_request(1), 1);
     program
 }
 
@@ -27,22 +27,22 @@
     for (state, request_first) in
         [("terminating", true), ("terminated", true), ("terminating", false), ("terminated", false)]
     {
-        let board = Notices::start();
+        let board = NoticeBoard::start();
         let edge = Edge::start(EdgeBehaviour::Answers);
         let servers = [("s-0", edge.address, 0, "in_service")];
         let program = started(&[&edge], &servers, &board);
         let mut warm = program.connect("viewer");
-        ask_in(&mut warm, 1, 0, "warm");
+        send_set_up_for_cell(&mut warm, 1, 0, "warm");
         assert_eq!(final_answer(&mut warm, 1).unwrap()["type"], "answer");
         program.settle();
         program.while_stopped(|| {
             let tell = || board.tell(&event(2, false, &[("s-0", edge.address, 0, state)]));
             if request_first {
-                ask_for(&mut warm, 2, "paid", 1_200, "late");
+                send_set_up(&mut warm, 2, "paid", 1_200, "late");
                 tell();
             } else {
                 tell();
-                ask_for(&mut warm, 2, "paid", 1_200, "late");
+                send_set_up(&mut warm, 2, "paid", 1_200, "late");
             }
             pass(700);
         });
@@ -58,20 +58,20 @@
 #[test]
 fn a_set_up_that_waits_for_its_connection_goes_elsewhere() {
     for state in ["terminating", "terminated"] {
-        let board = Notices::start();
+        let board = NoticeBoard::start();
         let (first, second) = (Edge::start(EdgeBehaviour::Answers), Edge::start(EdgeBehaviour::Answers));
-        let clogged = Clogged::new();
+        let clogged = FullAcceptQueue::new();
         let servers = [("s-0", clogged.address(), 0, "in_service")];
         let program = started(&[&first], &servers, &board);
         let mut client = program.connect("viewer");
-        ask_for(&mut client, 1, "paid", 50_000, "once");
+        send_set_up(&mut client, 1, "paid", 50_000, "once");
         program.settle();
         board.tell(&event(
             2,
             false,
             &[("s-0", clogged.address(), 0, state), ("s-1", second.address, 1, "in_service")],
         ));
-        program.logged("generation=2");
+        program.wait_for_log("generation=2");
         clogged.free(&first);
         assert_eq!(final_answer(&mut client, 1).unwrap()["type"], "answer", "{state}");
         assert!(first.ran().is_empty(), "{state}: it left for a server that drains");
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -112,7 +112,7 @@
     stream.write_all(&http("POST", "/whep/guide", Some(OFFER))).unwrap();
     media.until("a session", |s| s.sessions.get("/made/0").copied());
     drop(stream);
-    program.logged("peer=http:");
+    program.wait_for_log("peer=http:");
     media.seen.0.lock().unwrap().deaf = 3;
     media.go();
     media.all_ended();
@@ -148,7 +148,7 @@
         let made = ask(&program, "POST", "/whep/guide", Some(OFFER));
         assert_eq!((made.status, made.body.as_str()), (201, media_answer(n).as_str()));
     }
-    program.logged("reason=unasked");
+    program.wait_for_log("reason=unasked");
 }
 
 #[test]
@@ -195,7 +195,7 @@
     let places: Vec<String> =
         (0..3).map(|_| place(&ask(&program, "POST", "/whep/guide", Some(OFFER)))).collect();
     program.terminate();
-    program.logged("stopping");
+    program.wait_for_log("stopping");
     // It stays up for what plays; the last DELETEs let it go.
     for place in &places {
         assert_eq!(ask(&program, "DELETE", place, None).status, 200);
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -29,7 +29,7 @@
         .into_iter()
         .map(Edge::start)
         .collect();
-    let program = Program::platform_more(
+    let program = Program::platform_with_config(
         &edges.iter().collect::<Vec<_>>(),
         4_000.0,
         &json!({"console": "127.0.0.1:0"}),
@@ -56,7 +56,7 @@
         }
         let mut stream = program.connect("viewer");
         // Some ask for longer than any class waits: they fail at the door.
-        ask_for(&mut stream, id, class, if rng.usize(0..10) == 0 { 90_000 } else { 3_900 }, class);
+        send_set_up(&mut stream, id, class, if rng.usize(0..10) == 0 { 90_000 } else { 3_900 }, class);
         asked.push((class, stream));
     }
     for (class, stream) in asked {
@@ -88,10 +88,11 @@
 fn a_request_that_is_withdrawn_counts_as_none_and_its_attempt_counts() {
     let edge = Edge::start(EdgeBehaviour::Silent);
     let more = json!({"console": "127.0.0.1:0"});
-    let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
+    let program =
+        Program::platform_with_config(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     let mut stream = program.connect("viewer");
-    ask_for(&mut stream, 1, "paid", 50_000, "paid");
-    edge.nth_set_up(1);
+    send_set_up(&mut stream, 1, "paid", 50_000, "paid");
+    edge.wait_for_set_up(1);
     assert_eq!(vars(&program)["open_requests"], 1);
     drop(stream);
     edge.released(amberspindle::api::SessionId(1), 1);
--- a/tests/floods.rs
+++ b/tests/floods.rs
@@ -15,10 +15,10 @@
 const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
 fn started(edges: &[&Edge], deadline: f64) -> Program {
-    let settings = roomy(deadline);
+    let settings = settings_with_spare_uplink(deadline);
     let more =
         json!({"console": "127.0.0.1:0", "settings": settings, "limits": {"sockets": 256, "memory_mb": 48}});
-    Program::platform_more(edges, deadline, &more, &["viewer", "console"])
+    Program::platform_with_config(edges, deadline, &more, &["viewer", "console"])
 }
 
 /// Megabytes that a process holds.
@@ -30,7 +30,7 @@
 
 fn served(program: &Program, id: u64) {
     let mut client = program.connect("viewer");
-    ask_for(&mut client, id, "clip", 50_000, "other");
+    send_set_up(&mut client, id, "clip", 50_000, "other");
     assert_eq!(final_answer(&mut client, id).unwrap()["type"], "answer");
 }
 
@@ -46,7 +46,7 @@
         served(&program, id);
     }
     flooding.join().unwrap();
-    program.logged("reason=overflow");
+    program.wait_for_log("reason=overflow");
     served(&program, 100);
     assert!(held_mb(&program) < 48, "{} MB", held_mb(&program));
 }
@@ -56,7 +56,7 @@
     let edge = Edge::start(EdgeBehaviour::Answers);
     let program = started(&[&edge], UNREACHED_DEADLINE_MS);
     let mut early = program.connect("viewer");
-    ask_for(&mut early, 1, "clip", 50_000, "early");
+    send_set_up(&mut early, 1, "clip", 50_000, "early");
     assert_eq!(final_answer(&mut early, 1).unwrap()["type"], "answer");
     let at = program.fronts["viewer"];
     let come = move || -> Vec<TcpStream> {
@@ -65,7 +65,7 @@
     };
     let crowds: Vec<_> = (0..10).map(|_| std::thread::spawn(come)).collect();
     for id in 2..=10 {
-        ask_for(&mut early, id, "clip", 50_000, "early");
+        send_set_up(&mut early, id, "clip", 50_000, "early");
         assert_eq!(final_answer(&mut early, id).unwrap()["type"], "answer");
     }
     let crowds: Vec<Vec<TcpStream>> = crowds.into_iter().map(|c| c.join().unwrap()).collect();
@@ -91,7 +91,7 @@
     for id in 1..=5 {
         served(&program, id);
     }
-    program.logged("reason=unfinished");
+    program.wait_for_log("reason=unfinished");
     dripping.join().unwrap();
 }
 
@@ -104,13 +104,14 @@
     {
         let slow = TcpListener::bind("127.0.0.1:0").unwrap();
         let good = Edge::start(EdgeBehaviour::Answers);
-        let known = known_of(&event(1, true, &[("s-0", slow.local_addr().unwrap(), 0, "in_service")]));
-        let board = Notices::start();
-        let settings = roomy(8_000.0);
+        let known =
+            known_from_event(&event(1, true, &[("s-0", slow.local_addr().unwrap(), 0, "in_service")]));
+        let board = NoticeBoard::start();
+        let settings = settings_with_spare_uplink(8_000.0);
         let more = json!({"console": "127.0.0.1:0", "settings": settings, "known": known,
             "board": board.address.to_string()});
-        let program = Program::platform_more(&[&good], 8_000.0, &more, &["viewer", "console"]);
-        board.nth_asked(1);
+        let program = Program::platform_with_config(&[&good], 8_000.0, &more, &["viewer", "console"]);
+        board.wait_for_request(1);
         let server = std::thread::spawn(move || {
             let (mut stream, _) = slow.accept().unwrap();
             let mut buffer = [0; 4096];
@@ -130,7 +131,7 @@
             }
         });
         let mut client = program.connect("viewer");
-        ask_for(&mut client, 1, class, 8_000, "o");
+        send_set_up(&mut client, 1, class, 8_000, "o");
         program.settle();
         // From now on there is another server.
         board.tell(&event(2, false, &[("s-1", good.address, 1, "in_service")]));
@@ -139,7 +140,7 @@
         assert_eq!(heard["type"] == "answer", plays, "{gap_ms} {whole} {class}: {heard}");
         assert_eq!(good.ran().len(), usize::from(class == "clip"), "{gap_ms} {whole} {class}");
         if gap_ms > 400 {
-            program.logged("reason=unfinished");
+            program.wait_for_log("reason=unfinished");
         }
         drop(program);
         server.join().unwrap();
@@ -158,7 +159,7 @@
         let mut client = program.connect("viewer");
         client.write_all(spoilt.as_bytes()).unwrap();
         assert!(line(&mut client).is_none());
-        program.logged(&format!("reason={code}"));
+        program.wait_for_log(&format!("reason={code}"));
     }
     served(&program, 1);
     let lines = program.log.0.lock().unwrap().iter().filter(|l| l.starts_with("end ")).count();
--- a/tests/half_written.rs
+++ b/tests/half_written.rs
@@ -130,15 +130,16 @@
 
 fn leaves_in_the_middle(class: &str) {
     let (deaf, other) = (Deaf::new(), Edge::start(EdgeBehaviour::Answers));
-    let known = known_of(&event(
+    let known = known_from_event(&event(
         1,
         true,
         &[("s-0", deaf.address(), 0, "in_service"), ("s-1", other.address, 1, "in_service")],
     ));
-    let mut settings = roomy(UNREACHED_DEADLINE_MS);
+    let mut settings = settings_with_spare_uplink(UNREACHED_DEADLINE_MS);
     settings["FamilyInfo"]["PlacesByKind"] = json!([1000]);
     let more = json!({"console": "127.0.0.1:0", "known": known, "settings": settings});
-    let program = Program::platform_more(&[&other], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
+    let program =
+        Program::platform_with_config(&[&other], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     let (mut stays, mut leaves) = (program.connect("viewer"), program.connect("viewer"));
     leaves.set_nodelay(true).unwrap();
     ask_at_the_deaf(&mut stays, 1, class);
--- a/tests/letting_go.rs
+++ b/tests/letting_go.rs
@@ -32,7 +32,7 @@
             test(&mut client);
         }
         program.while_stopped(|| {
-            ask_for(&mut client, id, "paid", 50_000, "crosses");
+            send_set_up(&mut client, id, "paid", 50_000, "crosses");
             // Idle connections have 2.25 s, silent ones 2 s, both are looked at each 0.25 s.
             pass(2_800);
         });
@@ -45,14 +45,15 @@
 fn a_request_that_came_before_its_connection_made_room_is_answered() {
     let edge = Edge::start(EdgeBehaviour::Answers);
     let more = json!({"limits": {"sockets": 32}, "console": "127.0.0.1:0"});
-    let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
+    let program =
+        Program::platform_with_config(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     let mut clients: Vec<TcpStream> = (0..9).map(|_| program.connect("viewer")).collect();
     for client in &mut clients {
         test(client);
     }
     program.while_stopped(|| {
         // The oldest is the first that would go; the rest of the room and more is asked for behind it.
-        ask_for(&mut clients[0], 1, "paid", 50_000, "crosses");
+        send_set_up(&mut clients[0], 1, "paid", 50_000, "crosses");
         clients.extend((0..4).map(|_| program.connect("viewer")));
     });
     assert_eq!(final_answer(&mut clients[0], 1).expect("closed over a request")["type"], "answer");
@@ -66,10 +67,10 @@
     let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut client = program.connect("viewer");
     edge.set_behaviour(EdgeBehaviour::Silent);
-    ask_for(&mut client, 1, "paid", 50_000, "gone");
-    let id = edge.nth_set_up(1);
+    send_set_up(&mut client, 1, "paid", 50_000, "gone");
+    let id = edge.wait_for_set_up(1);
     program.while_stopped(|| {
-        edge.answer_now(id);
+        edge.send_answer(id);
         drop(client);
     });
     edge.released(id, 1);
--- a/tests/lost_ends.rs
+++ b/tests/lost_ends.rs
@@ -32,13 +32,13 @@
     let edge = Edge::start(EdgeBehaviour::Answers);
     let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut stays = program.connect("viewer");
-    ask_for(&mut stays, STAYS, "paid", 50_000, "stays");
+    send_set_up(&mut stays, STAYS, "paid", 50_000, "stays");
     assert_eq!(final_answer(&mut stays, STAYS).expect("no answer")["type"], "answer");
     stays.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     let mut told = BufReader::new(stays);
     for id in 1..=TIMES {
         let mut leaves = program.connect("viewer");
-        ask_for(&mut leaves, id, "paid", 50_000, "leaves");
+        send_set_up(&mut leaves, id, "paid", 50_000, "leaves");
         assert_eq!(final_answer(&mut leaves, id).expect("no answer")["type"], "answer");
         // Either may come first; readers of what came meanwhile have their turns in some order.
         program.while_stopped(|| {
--- a/tests/operate.rs
+++ b/tests/operate.rs
@@ -13,7 +13,7 @@
 
 /// A program with a console, and what its environment adds.
 fn start(edges: &[&Edge]) -> Program {
-    Program::platform_more(
+    Program::platform_with_config(
         edges,
         UNREACHED_DEADLINE_MS,
         &json!({"console": "127.0.0.1:0"}),
@@ -66,8 +66,8 @@
     let program = start(&[&edge]);
     assert_eq!(ping(&program)["cause"], 1);
     let mut busy = program.connect("viewer");
-    ask_for(&mut busy, 0x9b1f03aa5c7e2d42, "paid", 50_000, "offer");
-    let id = edge.nth_set_up(1);
+    send_set_up(&mut busy, 0x9b1f03aa5c7e2d42, "paid", 50_000, "offer");
+    let id = edge.wait_for_set_up(1);
     let mut idle = program.connect("viewer");
     idle.write_all(b"{\"type\":\"ping\",\"id\":\"9b1f03aa5c7e2d41\",\"fields\":{},\"cause\":0}\n").unwrap();
     assert_eq!(program.call("drain-on\n"), "SUCCESS draining\n");
@@ -78,7 +78,7 @@
     let mut said = String::new();
     idle.read_to_string(&mut said).unwrap();
     assert!(said.contains("\"pong\""));
-    edge.answer_now(id);
+    edge.send_answer(id);
     let mut lines = BufReader::new(busy);
     let mut said = String::new();
     lines.read_line(&mut said).unwrap();
@@ -93,9 +93,9 @@
     assert_eq!(program.call("check\n"), "SUCCESS ready\n");
     assert_eq!(ping(&program)["cause"], 1);
     let mut again = program.connect("viewer");
-    ask_for(&mut again, 0x9b1f03aa5c7e2d43, "paid", 50_000, "offer");
-    let id = edge.nth_set_up(2);
-    edge.answer_now(id);
+    send_set_up(&mut again, 0x9b1f03aa5c7e2d43, "paid", 50_000, "offer");
+    let id = edge.wait_for_set_up(2);
+    edge.send_answer(id);
     let mut line = String::new();
     BufReader::new(again).read_line(&mut line).unwrap();
     assert!(line.contains("\"answer\""));
@@ -112,8 +112,8 @@
     let mut said = String::new();
     stream.read_to_string(&mut said).unwrap();
     // The end was read: what is written now crosses it.
-    ask_for(&mut stream, 0x9b1f03aa5c7e2d44, "paid", 50_000, "offer");
-    program.logged("reason=draining");
+    send_set_up(&mut stream, 0x9b1f03aa5c7e2d44, "paid", 50_000, "offer");
+    program.wait_for_log("reason=draining");
     assert!(edge.set_ups().is_empty());
 }
 
@@ -124,18 +124,18 @@
     let edge = Edge::start(EdgeBehaviour::Answers);
     let program = start(&[&edge]);
     let mut viewer = program.connect("viewer");
-    ask_for(&mut viewer, 0x9b1f03aa5c7e2d45, "paid", 50_000, "offer");
+    send_set_up(&mut viewer, 0x9b1f03aa5c7e2d45, "paid", 50_000, "offer");
     let mut line = String::new();
     BufReader::new(viewer).read_line(&mut line).unwrap();
     assert!(line.contains("\"answer\""));
-    program.logged("reason=end-of-stream");
+    program.wait_for_log("reason=end-of-stream");
     let mut test = program.connect("viewer");
     test.write_all(b"{\"type\":\"ping\",\"id\":\"9b1f03aa5c7e2d41\",\"fields\":{},\"cause\":0}\n").unwrap();
     let mut test = BufReader::new(test);
     test.read_line(&mut String::new()).unwrap();
-    edge.say(release(edge.nth_set_up(1), 16));
+    edge.say(release(edge.wait_for_set_up(1), 16));
     let mut other = program.connect("viewer");
-    ask_for(&mut other, 0x9b1f03aa5c7e2d46, "paid", 50_000, "offer");
+    send_set_up(&mut other, 0x9b1f03aa5c7e2d46, "paid", 50_000, "offer");
     let mut lines = BufReader::new(other);
     let mut said = [String::new(), String::new()];
     said.iter_mut().for_each(|line| assert!(lines.read_line(line).unwrap() > 0));
@@ -160,11 +160,11 @@
     assert_eq!(ping(&program)["cause"], 1);
     program.call("drain-on\n");
     program.terminate();
-    program.logged("stopping");
+    program.wait_for_log("stopping");
     assert_eq!(program.call("drain-off\n"), "SUCCESS serving\n");
     assert_eq!(program.call("check\n"), "FAILURE ending\n");
     let begun = Instant::now();
-    program.logged("stopped");
+    program.wait_for_log("stopped");
     assert!(begun.elapsed() < Duration::from_secs(60));
 }
 
@@ -174,7 +174,8 @@
 fn a_drain_lets_a_connection_go_that_is_never_quiet() {
     let edge = Edge::start(EdgeBehaviour::Answers);
     let more = json!({"console": "127.0.0.1:0", "settings": settings(UNREACHED_DEADLINE_MS)});
-    let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
+    let program =
+        Program::platform_with_config(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     let asking = askers::RequestProfile {
         class: "clip",
         deadline_ms: 2_000,
--- a/tests/planned_ends.rs
+++ b/tests/planned_ends.rs
@@ -44,8 +44,8 @@
 }
 
 fn started(edges: &[&Edge], deadline: f64) -> Program {
-    let more = json!({"console": "127.0.0.1:0", "settings": roomy(deadline)});
-    Program::platform_more(edges, deadline, &more, &["viewer", "console"])
+    let more = json!({"console": "127.0.0.1:0", "settings": settings_with_spare_uplink(deadline)});
+    Program::platform_with_config(edges, deadline, &more, &["viewer", "console"])
 }
 
 /// Waits for the end of a process until the moment at which it may be killed, then kills it; whether it ended by itself.
@@ -86,7 +86,7 @@
     for class in ["clip", "paid"] {
         let edges = servers();
         let listed = [&edges[0], &edges[1], &edges[2]];
-        let platform = Platform::with(json!({"settings": roomy(DEADLINE_MS as f64)}));
+        let platform = Platform::with(json!({"settings": settings_with_spare_uplink(DEADLINE_MS as f64)}));
         let old = platform.serving(&listed);
         let address = platform.socket.local_addr().unwrap();
         let askers = Askers::start(address, CLIENTS, &asking(class));
@@ -116,8 +116,8 @@
     let edge = Edge::start(EdgeBehaviour::Silent);
     let program = started(&[&edge], deadline as f64);
     let mut client = program.connect("viewer");
-    ask_for(&mut client, 1, "clip", deadline, "offer");
-    edge.nth_set_up(1);
+    send_set_up(&mut client, 1, "clip", deadline, "offer");
+    edge.wait_for_set_up(1);
     program.terminate();
     let kill_at = Instant::now() + earliest_kill(deadline, 3_000);
     let reader = std::thread::spawn(move || final_answer(&mut client, 1));
@@ -132,7 +132,7 @@
     let edge = Edge::start(EdgeBehaviour::Answers);
     let program = started(&[&edge], DEADLINE_MS as f64);
     let mut client = program.connect("viewer");
-    ask_for(&mut client, 1, "paid", DEADLINE_MS, "offer");
+    send_set_up(&mut client, 1, "paid", DEADLINE_MS, "offer");
     assert_eq!(final_answer(&mut client, 1).unwrap()["type"], "answer");
     program.terminate();
     let kill_at = Instant::now() + earliest_kill(DEADLINE_MS, 3_000);
@@ -167,13 +167,13 @@
 fn an_heir_that_dies_late_changes_nothing_about_the_end() {
     let edges = servers();
     let listed = [&edges[0], &edges[1], &edges[2]];
-    let platform = Platform::with(json!({"settings": roomy(DEADLINE_MS as f64)}));
+    let platform = Platform::with(json!({"settings": settings_with_spare_uplink(DEADLINE_MS as f64)}));
     let old = platform.serving(&listed);
     let askers = Askers::start(platform.socket.local_addr().unwrap(), CLIENTS, &asking("paid"));
     pass(WARM_UP_MS);
     hang(&edges);
     let new = platform.serving(&listed);
-    old.logged("yields");
+    old.wait_for_log("yields");
     old.terminate();
     let kill_at = Instant::now() + earliest_kill(DEADLINE_MS, 5_000);
     pass(400);
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -58,12 +58,12 @@
         let log = program.log.0.lock().unwrap();
         log.iter().filter_map(|line| Record::read(line)).map(|r| r.event.name()).collect()
     };
-    let program = Program::platform_with(&[&edge], UNREACHED_DEADLINE_MS, &["--trace", "100"]);
+    let program = Program::platform_with_options(&[&edge], UNREACHED_DEADLINE_MS, &["--trace", "100"]);
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "paid", "");
     assert_eq!(viewer.hear().unwrap()["type"], "answer");
     viewer.say(json!({"type": "release", "id": A, "fields": {}, "cause": 34}));
-    program.logged("session.released");
+    program.wait_for_log("session.released");
     let steps = [
         "session.asked",
         "session.sent",
@@ -154,7 +154,7 @@
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest);
         assert!(rest.is_empty());
-        program.logged(&format!("reason={reason}"));
+        program.wait_for_log(&format!("reason={reason}"));
     }
     let mut viewer = Viewer::new(&program);
     viewer.say(json!({"type": "ping", "id": B, "fields": {}}));
@@ -180,14 +180,14 @@
     let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "paid", "");
-    edge.nth_set_up(1);
+    edge.wait_for_set_up(1);
     let mut late = Viewer::new(&program);
     program.terminate();
-    program.logged("stopping");
+    program.wait_for_log("stopping");
     // Requests keep coming for a while, and tests tell clients to go elsewhere.
     late.say(json!({"type": "ping", "id": B, "fields": {}}));
     assert_eq!(late.hear().unwrap()["cause"], 0);
-    edge.answer_now(id(A));
+    edge.send_answer(id(A));
     assert_eq!(viewer.hear().unwrap()["type"], "answer");
     edge.say(release(id(A), cause::NORMAL));
     assert_eq!(viewer.hear().unwrap()["type"], "release");
@@ -262,10 +262,10 @@
     let _first = board.asked();
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "paid", "");
-    edge.nth_set_up(1);
+    edge.wait_for_set_up(1);
     program.files.write("board.json", "{");
     program.hang_up();
-    program.logged("reload refused problem=LB_CONFIG");
+    program.wait_for_log("reload refused problem=LB_CONFIG");
     // The new file tells the list anew under the old number, without the server: that is no news.
     let mut wound = known(&[]);
     wound["notices"][0]["rev"] = json!(1);
@@ -273,18 +273,18 @@
     program.hang_up();
     let (_second, last) = next.asked();
     assert_eq!(last, 1, "asked at once, from where the list stands");
-    program.logged("reason=moved last=1");
-    edge.answer_now(id(A));
+    program.wait_for_log("reason=moved last=1");
+    edge.send_answer(id(A));
     assert_eq!(viewer.hear().unwrap()["type"], "answer");
     // A set-up after it, and a reload while the program stops.
     viewer.set_up(B, "clip", "");
-    edge.nth_set_up(2);
+    edge.wait_for_set_up(2);
     program.terminate();
-    program.logged("stopping");
+    program.wait_for_log("stopping");
     program.files.write("board.json", &board.config(&wound));
     program.hang_up();
     assert_eq!(board.asked().1, 1);
-    edge.answer_now(id(B));
+    edge.send_answer(id(B));
     assert_eq!(viewer.hear().unwrap()["type"], "answer");
     edge.say(release(id(A), cause::NORMAL));
     edge.say(release(id(B), cause::NORMAL));
@@ -310,7 +310,7 @@
     let program = Program::start(command, files, &["viewer"]);
     program.files.write("operator.toml", &text(&new));
     program.hang_up();
-    program.logged("reloaded");
+    program.wait_for_log("reloaded");
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "clip", "");
     assert_eq!(viewer.hear().unwrap()["type"], "answer");
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -41,7 +41,7 @@
 fn nine_in_ten_of_thirty_are_ready_within_ten_seconds() {
     let edge = Edge::start(EdgeBehaviour::Answers);
     let list = event(1, true, &[("s-0", edge.address, 0, "in_service")]);
-    let up = Notices::start();
+    let up = NoticeBoard::start();
     up.stand(&list);
     // One that accepts and says nothing, and one that is not there.
     let slow = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -51,7 +51,7 @@
         .map(|n| {
             let board = [up.address, slow_at, down][n % 3];
             let at_hand = n % 2 == 0;
-            let known = if at_hand { known_of(&list) } else { json!({"rev": 0, "notices": []}) };
+            let known = if at_hand { known_from_event(&list) } else { json!({"rev": 0, "notices": []}) };
             std::thread::spawn(move || ready_after(&known, board))
         })
         .collect();
@@ -68,17 +68,17 @@
 #[test]
 fn ready_is_said_once_a_list_is_there() {
     let edge = Edge::start(EdgeBehaviour::Answers);
-    let board = Notices::start();
+    let board = NoticeBoard::start();
     let program = started(&json!({"rev": 0, "notices": []}), board.address);
-    assert_eq!(board.nth_asked(1), 0);
+    assert_eq!(board.wait_for_request(1), 0);
     assert!(!passes(&mut program.connect("viewer")));
     assert_eq!(program.call("check\n"), "FAILURE no list of servers yet\n");
     board.tell(&event(1, true, &[("s-0", edge.address, 0, "in_service")]));
-    program.logged("generation=1");
+    program.wait_for_log("generation=1");
     program.settle();
     let mut client = program.connect("viewer");
     assert!(passes(&mut client));
     assert_eq!(program.call("check\n"), "SUCCESS ready\n");
-    ask_for(&mut client, 1, "paid", 4_000, "o");
+    send_set_up(&mut client, 1, "paid", 4_000, "o");
     assert_eq!(final_answer(&mut client, 1).unwrap()["type"], "answer");
 }
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -175,7 +175,7 @@
     assert_eq!(ask(&program, "POST", "/whep/guide", Some(offer)).status, 201);
     program.terminate();
     expect(&calls, "DELETE /eureka/apps/BROKER/");
-    edge.say(release(edge.nth_set_up(1), 16));
+    edge.say(release(edge.wait_for_set_up(1), 16));
     assert!(program.ended_well());
 }
 
@@ -197,6 +197,6 @@
     let refused = ask(&program, "POST", "/whep/shut", offer);
     assert_eq!((refused.status, refused.header("retry-after")), (503, Some("3")));
     assert_eq!(ask(&program, "POST", "/whep/open", offer).status, 201);
-    program.logged("hook off");
+    program.wait_for_log("hook off");
     assert_eq!(ask(&program, "POST", "/whep/shut", offer).status, 201);
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -17,7 +17,7 @@
 }
 
 fn start(edge: &Edge) -> (Program, Value) {
-    let program = Program::platform_more(
+    let program = Program::platform_with_config(
         &[edge],
         UNREACHED_DEADLINE_MS,
         &json!({"console": "127.0.0.1:0"}),
@@ -30,7 +30,7 @@
 
 fn set_up(program: &Program, id: u64, class: &str) -> BufReader<TcpStream> {
     let mut stream = program.connect("viewer");
-    ask_for(&mut stream, id, class, 50_000, class);
+    send_set_up(&mut stream, id, class, 50_000, class);
     BufReader::new(stream)
 }
 
@@ -97,14 +97,14 @@
     let (program, mut file) = start(&edge);
     // Under way as a class whose repeat does no harm; the class becomes paid meanwhile.
     let mut under_way = set_up(&program, 1, "clip");
-    edge.nth_set_up(1);
+    edge.wait_for_set_up(1);
     let classes = file["settings"]["RequestClasses"].as_array_mut().unwrap();
     classes[1]["Effect"] = json!("non_idempotent");
     classes.push(json!({"Name": "gold", "Slo": 30000, "Deadline": 60000, "Effect": "non_idempotent"}));
     reread(&program, &file.to_string(), 0, true);
     let mut gold = set_up(&program, 2, "gold");
     let mut strict = set_up(&program, 3, "clip");
-    edge.nth_set_up(3);
+    edge.wait_for_set_up(3);
     // All fail at the server. What may run twice is sent again under the effect it was taken with, the others not.
     edge.set_behaviour(EdgeBehaviour::Answers);
     for id in 1..=3 {
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -15,9 +15,9 @@
 const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
 fn started(edge: &Edge, deadline: f64) -> Program {
-    let settings = roomy(deadline);
+    let settings = settings_with_spare_uplink(deadline);
     let more = json!({"console": "127.0.0.1:0", "settings": settings});
-    Program::platform_more(&[edge], deadline, &more, &["viewer", "console"])
+    Program::platform_with_config(&[edge], deadline, &more, &["viewer", "console"])
 }
 
 /// A hundred connections wait to be accepted when the listening socket is to go. Seen to fail before: those that had
@@ -27,11 +27,11 @@
     let edge = Edge::start(EdgeBehaviour::Answers);
     let program = started(&edge, UNREACHED_DEADLINE_MS);
     program.terminate();
-    program.logged("stopping");
+    program.wait_for_log("stopping");
     let clients: Vec<TcpStream> = program.while_stopped(|| {
         let asked = (1..=100).map(|id| {
             let mut client = program.connect("viewer");
-            ask_for(&mut client, id, "clip", 50_000, "waits");
+            send_set_up(&mut client, id, "clip", 50_000, "waits");
             client
         });
         let asked = asked.collect();
@@ -58,11 +58,11 @@
     let edge = Edge::start(EdgeBehaviour::Answers);
     let program = started(&edge, UNREACHED_DEADLINE_MS);
     let mut client = program.connect("viewer");
-    ask_for(&mut client, 1, "paid", 50_000, "plays");
+    send_set_up(&mut client, 1, "paid", 50_000, "plays");
     assert_eq!(final_answer(&mut client, 1).unwrap()["type"], "answer");
     edge.set_behaviour(EdgeBehaviour::Silent);
     program.terminate();
-    program.logged("stopping");
+    program.wait_for_log("stopping");
     pass(800);
     let over = json!({"type": "release", "id": "0000000000000001", "fields": {}, "cause": 16});
     client.write_all(format!("{over}\n").as_bytes()).unwrap();
@@ -88,7 +88,7 @@
     let mut client = program.connect("viewer");
     client.set_nonblocking(true).unwrap();
     program.terminate();
-    program.logged("stopping");
+    program.wait_for_log("stopping");
     let (mut asked, begun) = (Vec::new(), Instant::now());
     let mut heard = Vec::new();
     let mut ended = false;
@@ -133,19 +133,19 @@
         let edge = Edge::start(EdgeBehaviour::Silent);
         let program = started(&edge, UNREACHED_DEADLINE_MS);
         let mut client = program.connect("viewer");
-        ask_for(&mut client, 1, "paid", 50_000, "open");
-        let id = edge.nth_set_up(1);
+        send_set_up(&mut client, 1, "paid", 50_000, "open");
+        let id = edge.wait_for_set_up(1);
         before.lines().for_each(|call| assert!(program.call(&format!("{call}\n")).starts_with("SUCCESS")));
         program.terminate();
-        program.logged("stopping");
+        program.wait_for_log("stopping");
         program.hang_up();
-        program.logged("reloaded");
+        program.wait_for_log("reloaded");
         program.terminate();
-        program.nth_logged("stopping", 1);
+        program.wait_for_nth_log("stopping", 1);
         assert_eq!(program.call("check\n"), "FAILURE ending\n");
         assert!(program.call("drain-off\n").starts_with("SUCCESS"));
         assert_eq!(program.call("check\n"), "FAILURE ending\n");
-        edge.answer_now(id);
+        edge.send_answer(id);
         assert_eq!(final_answer(&mut client, 1).unwrap()["type"], "answer", "{before}");
         edge.say(release(id, cause::CANCELLED));
         assert!(line(&mut client).is_none(), "its viewer is owed no word, and the connection ends");
@@ -176,7 +176,7 @@
 #[test]
 fn a_process_that_ends_sends_a_cold_server_nothing_more() {
     let edge = Edge::start(EdgeBehaviour::Answers);
-    let mut settings = roomy(UNREACHED_DEADLINE_MS);
+    let mut settings = settings_with_spare_uplink(UNREACHED_DEADLINE_MS);
     // Sixteen set-ups a second are allowed at the start, of which the pace uses seven in ten.
     settings["FamilyInfo"]["PlacesByKind"] = json!([1000]);
     settings["Rules"] = json!({"StopSendingWithin": 500.0, "Cold": 60_000.0, "ColdFrom": 0.4,
@@ -185,20 +185,21 @@
     let mut known = known(&[&edge]);
     known["notices"][0]["pool"]["targets"][0]["boot_ms"] = json!(now.as_millis() as u64);
     let more = json!({"console": "127.0.0.1:0", "settings": settings, "known": known});
-    let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
+    let program =
+        Program::platform_with_config(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     let mut client = program.connect("viewer");
     // It takes its turns.
     let mut id = 0;
     let mut ask = |client: &mut TcpStream| {
         id += 1;
-        ask_for(client, id, "clip", 50_000, "o");
+        send_set_up(client, id, "clip", 50_000, "o");
         std::thread::sleep(Duration::from_millis(10));
     };
     while edge.ran().len() < 3 {
         ask(&mut client);
     }
     program.terminate();
-    program.logged("stopping");
+    program.wait_for_log("stopping");
     program.settle();
     let before = edge.ran().len();
     (0..50).for_each(|_| ask(&mut client));
--- a/tests/slow_discovery.rs
+++ b/tests/slow_discovery.rs
@@ -84,13 +84,14 @@
     let told = format!("id: 2\ndata: {drained}\n\n");
     let good = Arc::new(AtomicBool::new(false));
     let board = dripping(how, told, good.clone());
-    let known = known_of(&event(1, true, &servers));
-    let more = json!({"console": "127.0.0.1:0", "settings": roomy(UNREACHED_DEADLINE_MS), "known": known, "board": board.to_string()});
-    let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
+    let known = known_from_event(&event(1, true, &servers));
+    let more = json!({"console": "127.0.0.1:0", "settings": settings_with_spare_uplink(UNREACHED_DEADLINE_MS), "known": known, "board": board.to_string()});
+    let program =
+        Program::platform_with_config(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     std::thread::sleep(FAILS_FOR);
     good.store(true, Ordering::SeqCst);
     let since = Instant::now();
-    program.logged("generation=2");
+    program.wait_for_log("generation=2");
     assert!(since.elapsed() <= TOLD_WITHIN, "{how:?}: {:?}", since.elapsed());
 }
 
@@ -122,8 +123,9 @@
             });
         }
     });
-    let known = known_of(&event(1, true, &[("s-0", edge.address, 0, "in_service")]));
-    let more = json!({"console": "127.0.0.1:0", "settings": roomy(UNREACHED_DEADLINE_MS), "known": known, "board": board.to_string()});
-    let program = Program::platform_more(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
-    program.logged("generation=2 servers=4000");
+    let known = known_from_event(&event(1, true, &[("s-0", edge.address, 0, "in_service")]));
+    let more = json!({"console": "127.0.0.1:0", "settings": settings_with_spare_uplink(UNREACHED_DEADLINE_MS), "known": known, "board": board.to_string()});
+    let program =
+        Program::platform_with_config(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
+    program.wait_for_log("generation=2 servers=4000");
 }
--- a/tests/support/crossing.rs
+++ b/tests/support/crossing.rs
@@ -39,13 +39,13 @@
 
 /// A listening socket whose queue is full: connections to it come up once it is freed, when their machine asks again,
 /// about a second after it asked first.
-pub struct Clogged {
+pub struct FullAcceptQueue {
     listener: TcpListener,
     fillers: Vec<TcpStream>,
 }
 
-impl Clogged {
-    pub fn new() -> Clogged {
+impl FullAcceptQueue {
+    pub fn new() -> FullAcceptQueue {
         use rustix::net::{AddressFamily, SocketType, bind, listen, socket};
         let socket = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
         bind(&socket, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
@@ -57,7 +57,7 @@
         while let Ok(filler) = TcpStream::connect_timeout(&address, Duration::from_millis(200)) {
             fillers.push(filler);
         }
-        Clogged { listener, fillers }
+        FullAcceptQueue { listener, fillers }
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -83,18 +83,18 @@
 
 /// A stand-in notice board: each connection gets a head, then only what it is told to say.
 #[derive(Clone)]
-pub struct Notices {
+pub struct NoticeBoard {
     pub address: SocketAddr,
     spoken: Arc<(Mutex<Spoken>, Condvar)>,
 }
 
-impl Notices {
-    pub fn start() -> Notices {
-        Notices::on(TcpListener::bind("127.0.0.1:0").unwrap())
+impl NoticeBoard {
+    pub fn start() -> NoticeBoard {
+        NoticeBoard::on(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    pub fn on(listener: TcpListener) -> Notices {
-        let notices = Notices { address: listener.local_addr().unwrap(), spoken: Arc::default() };
+    pub fn on(listener: TcpListener) -> NoticeBoard {
+        let notices = NoticeBoard { address: listener.local_addr().unwrap(), spoken: Arc::default() };
         let board = notices.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -125,7 +125,7 @@
     }
 
     /// Waits for the `n`th asking, from 1; gives the last event that it named.
-    pub fn nth_asked(&self, n: usize) -> u64 {
+    pub fn wait_for_request(&self, n: usize) -> u64 {
         let mut spoken = self.spoken.0.lock().unwrap();
         while spoken.asked.len() < n {
             let (next, late) = self.spoken.1.wait_timeout(spoken, TEST_TIMEOUT).unwrap();
@@ -171,7 +171,7 @@
 }
 
 /// The events of the start as the configuration holds them.
-pub fn known_of(event: &Value) -> Value {
+pub fn known_from_event(event: &Value) -> Value {
     json!({"rev": event["rev"], "notices": [event]})
 }
 
@@ -204,7 +204,7 @@
 }
 
 /// Asks for a free session that one cell's servers may hold.
-pub fn ask_in(stream: &mut TcpStream, id: u64, cell: usize, offer: &str) {
+pub fn send_set_up_for_cell(stream: &mut TcpStream, id: u64, cell: usize, offer: &str) {
     let fields = json!({"class": "clip", "left": 50_000, "tenant": "home", "key": format!("k{cell}"),
         "extras": format!("home:{cell};copies:1;top:1")});
     let line = json!({"type": "setup", "id": format!("{id:016x}"), "sdp": offer, "fields": fields});
@@ -212,7 +212,7 @@
 }
 
 /// Settings by which no set-up waits for room on an uplink.
-pub fn roomy(deadline: f64) -> Value {
+pub fn settings_with_spare_uplink(deadline: f64) -> Value {
     let mut settings = settings(deadline);
     settings["FamilyInfo"]["RackKb"] = json!(1e9);
     settings
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -11,7 +11,7 @@
 use fastrand::Rng;
 use serde_json::Value;
 
-use super::ask_for;
+use super::send_set_up;
 use super::versions::Platform;
 
 /// Clients that ask at the same time.
@@ -69,7 +69,7 @@
     let mut stream = platform.connect();
     let connected = Instant::now();
     let class = if id.is_multiple_of(2) { "paid" } else { "clip" };
-    ask_for(&mut stream, id, class, 50_000, &format!("offer {id}"));
+    send_set_up(&mut stream, id, class, 50_000, &format!("offer {id}"));
     let mut lines = BufReader::new(stream);
     let said = next_final(&mut lines, id);
     lines.get_ref().set_read_timeout(Some(stay)).unwrap();
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -138,16 +138,16 @@
     }
 
     /// Says something on the connection of a set-up.
-    pub fn say_beside(&self, id: SessionId, message: Builder) {
+    pub fn send_on_connection_of(&self, id: SessionId, message: Builder) {
         let n = self.set_ups().into_iter().position(|(of, _)| of == id).unwrap();
         let mut stream = self.heard.0.lock().unwrap().on[n].try_clone().unwrap();
         self.write(&mut stream, message);
     }
 
     /// Answers a set-up late, on its own connection.
-    pub fn answer_now(&self, id: SessionId) {
+    pub fn send_answer(&self, id: SessionId) {
         let offer = self.set_ups().into_iter().find(|(of, _)| *of == id).unwrap().1;
-        self.say_beside(id, answer(id, &offer));
+        self.send_on_connection_of(id, answer(id, &offer));
     }
 
     /// Says something on the newest connection.
@@ -188,7 +188,7 @@
     }
 
     /// Waits for the `n`th set-up, from 1.
-    pub fn nth_set_up(&self, n: usize) -> SessionId {
+    pub fn wait_for_set_up(&self, n: usize) -> SessionId {
         self.wait("a set-up", |h| h.set_ups.get(n - 1).map(|s| s.0))
     }
 
@@ -232,7 +232,7 @@
 }
 
 /// Asks for a session of a class with an offer, and tells how long its viewer waits.
-pub fn ask_for(stream: &mut TcpStream, id: u64, class: &str, left: u64, offer: &str) {
+pub fn send_set_up(stream: &mut TcpStream, id: u64, class: &str, left: u64, offer: &str) {
     let fields = json!({"class": class, "left": left, "tenant": "home", "key": format!("k{}", id % 7),
         "extras": "home:0;copies:3;top:1"});
     let line = json!({"type": "setup", "id": format!("{id:016x}"), "sdp": offer, "fields": fields});
--- a/tests/support/program.rs
+++ b/tests/support/program.rs
@@ -63,18 +63,18 @@
 impl Program {
     /// Starts it with the platform's configuration and waits until its fronts listen.
     pub fn platform(edges: &[&Edge], deadline: f64) -> Program {
-        Program::platform_with(edges, deadline, &[])
+        Program::platform_with_options(edges, deadline, &[])
     }
 
     /// The same with options of `serve`.
-    pub fn platform_with(edges: &[&Edge], deadline: f64, options: &[&str]) -> Program {
+    pub fn platform_with_options(edges: &[&Edge], deadline: f64, options: &[&str]) -> Program {
         let files = tempdir::Dir::new();
         let command = Program::command(&files, &config(edges, deadline), options);
         Program::start(command, files, &["viewer"])
     }
 
     /// The same with more in the configuration.
-    pub fn platform_more(edges: &[&Edge], deadline: f64, more: &Value, fronts: &[&str]) -> Program {
+    pub fn platform_with_config(edges: &[&Edge], deadline: f64, more: &Value, fronts: &[&str]) -> Program {
         let mut config = config(edges, deadline);
         for (key, value) in more.as_object().unwrap() {
             config[key] = value.clone();
@@ -141,7 +141,7 @@
         });
         let mut program = Program { child, fronts: BTreeMap::new(), log, files };
         for front in fronts {
-            let line = program.logged(&format!(" for {front}"));
+            let line = program.wait_for_log(&format!(" for {front}"));
             let address = line.split(" listens on ").nth(1).unwrap().split(' ').next().unwrap();
             program.fronts.insert((*front).to_owned(), address.parse().unwrap());
         }
@@ -149,7 +149,7 @@
     }
 
     /// Waits for a line of the log that holds a text.
-    pub fn logged(&self, text: &str) -> String {
+    pub fn wait_for_log(&self, text: &str) -> String {
         let mut lines = self.log.0.lock().unwrap();
         loop {
             if let Some(line) = lines.iter().find(|l| l.contains(text)) {
@@ -162,7 +162,7 @@
     }
 
     /// Waits for the `n`th line, from 0, that begins with a text.
-    pub fn nth_logged(&self, start: &str, n: usize) -> String {
+    pub fn wait_for_nth_log(&self, start: &str, n: usize) -> String {
         let mut lines = self.log.0.lock().unwrap();
         loop {
             if let Some(line) = lines.iter().filter(|l| l.starts_with(start)).nth(n) {
--- a/tests/support/versions.rs
+++ b/tests/support/versions.rs
@@ -8,7 +8,7 @@
 
 use serde_json::{Value, json};
 
-use super::{Edge, Program, TEST_TIMEOUT, ask_for, config, tempdir};
+use super::{Edge, Program, TEST_TIMEOUT, config, send_set_up, tempdir};
 
 /// A deadline that no test reaches, in milliseconds.
 pub const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
@@ -55,7 +55,7 @@
     /// A version that serves.
     pub fn serving(&self, edges: &[&Edge]) -> Program {
         let program = self.version(edges);
-        program.logged("serves");
+        program.wait_for_log("serves");
         program
     }
 
@@ -86,7 +86,7 @@
 /// Sets a session up on a connection of its own; gives the connection.
 pub fn plays(platform: &Platform, id: u64) -> BufReader<TcpStream> {
     let mut stream = platform.connect();
-    ask_for(&mut stream, id, "paid", 50_000, &format!("offer {id}"));
+    send_set_up(&mut stream, id, "paid", 50_000, &format!("offer {id}"));
     let mut lines = BufReader::new(stream);
     assert_eq!(hear(&mut lines)["type"], "answer");
     lines
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -20,23 +20,23 @@
     let mut first = plays(&platform, 1);
     edge.set_behaviour(EdgeBehaviour::Silent);
     let mut stream = platform.connect();
-    ask_for(&mut stream, 2, "paid", 50_000, "offer");
+    send_set_up(&mut stream, 2, "paid", 50_000, "offer");
     let mut paid = BufReader::new(stream);
-    edge.nth_set_up(2);
+    edge.wait_for_set_up(2);
     let new = platform.serving(&[&edge]);
-    old.logged("yields");
+    old.wait_for_log("yields");
     assert_eq!(new.call("check\n"), "SUCCESS ready\n");
     assert_eq!(old.call("check\n"), "FAILURE another process serves\n");
     // The connection that nothing is set up on ends, and the set-up that is out is answered once, where it was asked.
     assert_eq!(hear(&mut first), Value::Null);
-    edge.answer_now(SessionId(2));
+    edge.send_answer(SessionId(2));
     assert_eq!(hear(&mut paid)["type"], "answer");
     assert_eq!(hear(&mut paid), Value::Null);
     // Nobody waits there any more: it leaves, and cuts nothing.
     assert!(old.ended_well());
     edge.set_behaviour(EdgeBehaviour::Answers);
     let mut lines = plays(&platform, 3);
-    edge.say_beside(SessionId(3), release(SessionId(1), 16));
+    edge.send_on_connection_of(SessionId(3), release(SessionId(1), 16));
     assert_eq!(hear(&mut lines)["id"], "0000000000000001", "its end is told by the new process");
     say(lines.get_mut(), &json!({"type": "release", "id": "0000000000000002", "fields": {}, "cause": 16}));
     edge.released(SessionId(2), 1);
@@ -49,16 +49,16 @@
     let (platform, edge) = (Platform::new(), Edge::start(EdgeBehaviour::Silent));
     let old = platform.serving(&[&edge]);
     let mut stream = platform.connect();
-    ask_for(&mut stream, 1, "paid", 50_000, "offer");
-    edge.nth_set_up(1);
+    send_set_up(&mut stream, 1, "paid", 50_000, "offer");
+    edge.wait_for_set_up(1);
     for n in 0..3 {
         let new = platform.serving(&[&edge]);
-        old.nth_logged("yields", 0);
+        old.wait_for_nth_log("yields", 0);
         drop(new.killed());
-        old.nth_logged("serves again", n);
+        old.wait_for_nth_log("serves again", n);
         assert_eq!(old.call("check\n"), "SUCCESS ready\n");
     }
-    edge.answer_now(SessionId(1));
+    edge.send_answer(SessionId(1));
     assert_eq!(hear(&mut BufReader::new(stream))["type"], "answer");
     edge.set_behaviour(EdgeBehaviour::Answers);
     plays(&platform, 2);
@@ -76,11 +76,11 @@
     let new = platform.serving(&[&edge]);
     assert_eq!(new.call("check\n"), "SUCCESS ready\n");
     old.signal("-CONT");
-    old.logged("yields");
+    old.wait_for_log("yields");
     assert!(old.ended_well());
     drop(first);
     let mut lines = plays(&platform, 2);
-    edge.say_beside(SessionId(2), release(SessionId(1), 16));
+    edge.send_on_connection_of(SessionId(2), release(SessionId(1), 16));
     assert_eq!(hear(&mut lines)["id"], "0000000000000001");
 }
 
@@ -99,7 +99,7 @@
     assert_eq!(last.call("check\n"), "SUCCESS ready\n");
     let mut lines = plays(&platform, 4);
     for id in 1..=3 {
-        edge.say_beside(SessionId(4), release(SessionId(id), 16));
+        edge.send_on_connection_of(SessionId(4), release(SessionId(id), 16));
         assert_eq!(hear(&mut lines)["id"], format!("{id:016x}"));
     }
     assert_eq!(edge.ran().len(), 4);
@@ -110,13 +110,13 @@
     let (platform, edge) = (Platform::new(), Edge::start(EdgeBehaviour::Silent));
     let old = platform.serving(&[&edge]);
     let mut stream = platform.connect();
-    ask_for(&mut stream, 1, "paid", 50_000, "offer");
-    edge.nth_set_up(1);
+    send_set_up(&mut stream, 1, "paid", 50_000, "offer");
+    edge.wait_for_set_up(1);
     let new = platform.serving(&[&edge]);
-    old.logged("yields");
+    old.wait_for_log("yields");
     old.terminate();
-    old.logged("stopping");
-    edge.answer_now(SessionId(1));
+    old.wait_for_log("stopping");
+    edge.send_answer(SessionId(1));
     let mut lines = BufReader::new(stream);
     assert_eq!(hear(&mut lines)["type"], "answer");
     assert!(old.ended_well());
@@ -139,7 +139,7 @@
     stranger.write_all(b"{\"say\":\"leave\"}\n{\"say\":\"left\",\"id\":1}\nnonsense\n").unwrap();
     stranger.write_all(b"{\"say\":\"take_over\",\"version\":1,\"started\":18000000000000000000}\n").unwrap();
     drop(stranger);
-    second.logged("peer=\"new process\"");
+    second.wait_for_log("peer=\"new process\"");
     assert_eq!(second.call("check\n"), "SUCCESS ready\n");
     drop(second.killed());
     std::fs::remove_file(&place).unwrap();
--- a/tests/upgrade_ends.rs
+++ b/tests/upgrade_ends.rs
@@ -24,7 +24,7 @@
 /// What makes the one server of a list cold for a minute. It has so many places; the pace allows as many set-ups in
 /// that minute, of which seven in ten are used.
 fn cold(edge: &Edge, places: u32) -> Value {
-    let mut settings = roomy(UNREACHED_DEADLINE_MS);
+    let mut settings = settings_with_spare_uplink(UNREACHED_DEADLINE_MS);
     settings["FamilyInfo"]["PlacesByKind"] = json!([places]);
     settings["Rules"] = json!({"StopSendingWithin": 500.0, "Cold": 60_000.0, "ColdFrom": 0.4,
         "FallMultiple": 2.5, "Fall": 2_000.0});
@@ -49,7 +49,7 @@
         let begun = Instant::now();
         while edge.set_ups().len() < set_ups {
             assert!(begun.elapsed() < TEST_TIMEOUT, "no set-up comes to the cold server");
-            ask_for(&mut self.stream, self.next, "clip", 50_000, "o");
+            send_set_up(&mut self.stream, self.next, "clip", 50_000, "o");
             self.next += 1;
             std::thread::sleep(ASKED_EVERY);
         }
@@ -67,23 +67,23 @@
     let mut asker = Asker::new(&platform, 1);
     asker.until(&edge, 1);
     let heir = platform.serving(&[&edge]);
-    old.logged("yields");
+    old.wait_for_log("yields");
     old.terminate();
-    old.logged("stopping");
+    old.wait_for_log("stopping");
     drop(heir.killed());
-    old.logged("serves again");
+    old.wait_for_log("serves again");
     let before = edge.set_ups().len();
     asker.until(&edge, before + 2);
     // The last call is over.
     pass(900);
     let mut late = platform.connect();
-    ask_for(&mut late, 900_001, "clip", 50_000, "late");
+    send_set_up(&mut late, 900_001, "clip", 50_000, "late");
     old.settle();
     assert!(edge.set_ups().iter().all(|(_, offer)| offer != "late"), "it accepts after its last call");
     assert_eq!(old.call("check\n"), "FAILURE ending\n");
     edge.set_behaviour(EdgeBehaviour::Answers);
     let next = platform.serving(&[&edge]);
-    old.nth_logged("yields", 1);
+    old.wait_for_nth_log("yields", 1);
     assert_eq!(final_answer(&mut late, 900_001).unwrap()["type"], "answer");
     drop(asker);
     assert!(old.ended_well(), "nobody waits there any more");
@@ -103,16 +103,16 @@
         let mut asker = Asker::new(&platform, 1);
         asker.until(&edge, 1);
         let heir = platform.serving(&[&edge]);
-        old.logged("yields");
+        old.wait_for_log("yields");
         if told_to_end {
             old.terminate();
-            old.logged("stopping");
+            old.wait_for_log("stopping");
         }
         let mut others = Asker::new(&platform, 500_001);
         others.until(&edge, 2);
         let heirs = unix_now();
         drop(heir.killed());
-        old.logged("serves again");
+        old.wait_for_log("serves again");
         asker.until(&edge, 3);
         let nth = |at: Duration| at.as_micros() / turn.as_micros();
         assert!(nth(unix_now()) > nth(heirs), "told to end: {told_to_end}: one turn was used twice");
@@ -127,8 +127,8 @@
         let (platform, edge) = (Platform::new(), Edge::start(EdgeBehaviour::Silent));
         let old = platform.serving(&[&edge]);
         let mut waits = platform.connect();
-        ask_for(&mut waits, 1, "paid", 50_000, "waits");
-        edge.nth_set_up(1);
+        send_set_up(&mut waits, 1, "paid", 50_000, "waits");
+        edge.wait_for_set_up(1);
         let mut heir = UnixStream::connect(platform.meeting_point()).unwrap();
         heir.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let take_over = json!({"say": "take_over", "version": 1, "started": u64::MAX});
@@ -137,13 +137,13 @@
         let mut lines = BufReader::new(heir);
         lines.read_line(&mut line).unwrap();
         assert_eq!(line, "{\"say\":\"yielded\"}\n");
-        old.logged("yields");
+        old.wait_for_log("yields");
         lines.get_mut().write_all(said.as_bytes()).unwrap();
         drop(lines);
-        old.logged("serves again");
+        old.wait_for_log("serves again");
         edge.set_behaviour(EdgeBehaviour::Answers);
         plays(&platform, 2);
-        edge.answer_now(SessionId(1));
+        edge.send_answer(SessionId(1));
         assert_eq!(final_answer(&mut waits, 1).unwrap()["type"], "answer");
         assert_eq!(edge.ran().len(), 2);
     }
--- a/tests/upgrade_seeds.rs
+++ b/tests/upgrade_seeds.rs
@@ -58,7 +58,7 @@
             seen = set_ups.len();
             let (now, later) = due.into_iter().partition(|(at, _)| *at <= Instant::now());
             due = later;
-            now.into_iter().for_each(|(_, id)| edge.answer_now(id));
+            now.into_iter().for_each(|(_, id)| edge.send_answer(id));
             std::thread::sleep(Duration::from_millis(2));
         }
     });
@@ -72,7 +72,7 @@
     let versions = if seed.is_multiple_of(3) { 3 } else { 2 };
     let edge = Edge::start(EdgeBehaviour::Silent);
     let answers = answer_late(&edge, seed);
-    let mut settings = roomy(UNREACHED_DEADLINE_MS);
+    let mut settings = settings_with_spare_uplink(UNREACHED_DEADLINE_MS);
     settings["FamilyInfo"]["PlacesByKind"] = json!([1000]);
     let platform = Arc::new(Platform::with(json!({"settings": settings})));
 
--- a/tests/watched.rs
+++ b/tests/watched.rs
@@ -98,7 +98,7 @@
 
     /// The `n`th word on the list, from 0.
     fn word(&self, n: usize) -> String {
-        self.program.nth_logged("list.", n)
+        self.program.wait_for_nth_log("list.", n)
     }
 
     fn play(&self) -> Reply {
@@ -185,7 +185,7 @@
     assert_eq!(broker.play().status, 201);
     put(&dir, weights, &new[1]);
     broker.program.hang_up();
-    assert!(broker.program.logged("list.taken").contains("generation=2 servers=1 added=0 changed=1"));
+    assert!(broker.program.wait_for_log("list.taken").contains("generation=2 servers=1 added=0 changed=1"));
 }
 
 /// Every way in which a whole file may come to its place, with the system's word on it and with looks alone.
@@ -199,7 +199,7 @@
         let first = list(&[("keep", &edges[0], "")]);
         let broker = Broker::start(watch, &first);
         let dir = broker.program.files.0.clone();
-        let taken = |n: usize| broker.program.logged(&format!("list.taken generation={n} "));
+        let taken = |n: usize| broker.program.wait_for_log(&format!("list.taken generation={n} "));
         taken(1);
         broker.rename(&lists[1]);
         taken(2);
@@ -309,7 +309,7 @@
             })
         };
         broker.rename(&named(more));
-        broker.program.logged("list.taken generation=2 ");
+        broker.program.wait_for_log("list.taken generation=2 ");
         // What left before the list was taken may still arrive; what is asked from now on may not go there.
         for _ in 0..30 {
             assert_eq!(play(&broker).status, 201);
@@ -403,11 +403,11 @@
     fs::write(&state, &bytes).unwrap();
     fs::remove_file(&path).unwrap();
     let broker = Broker::again(files, &watch, &[]);
-    assert!(broker.program.logged("state.refused").contains("damaged"));
-    broker.program.logged("list.none");
+    assert!(broker.program.wait_for_log("state.refused").contains("damaged"));
+    broker.program.wait_for_log("list.none");
     assert!(state.with_extension("damaged").exists());
     broker.rename(&good);
-    broker.program.logged("list.taken generation=1");
+    broker.program.wait_for_log("list.taken generation=1");
     assert_eq!(broker.play().status, 201);
 }
 
@@ -418,9 +418,9 @@
     let one = list(&[("a", &edges[0], "")]);
     let broker = Broker::start(&format!("{NEVER}\nhold_ms = 400"), &all);
     broker.rename(&one);
-    let held = broker.program.logged("list.held");
+    let held = broker.program.wait_for_log("list.held");
     assert!(held.starts_with("list.held dropped=2 of=3 wait_ms="), "{held}");
-    let taken = broker.program.logged("list.taken generation=2 ");
+    let taken = broker.program.wait_for_log("list.taken generation=2 ");
     assert!(taken.contains("servers=1 added=0 changed=0 removed=2"), "{taken}");
 }
 
@@ -431,8 +431,8 @@
     let broker = Broker::start(NEVER, &list(&[("a", &old, "")]));
     let made = broker.play();
     broker.rename(&list(&[("a", &new, "")]));
-    broker.program.logged("list.taken generation=2 servers=1 added=1 changed=0 removed=0");
-    broker.program.logged("reason=moved");
+    broker.program.wait_for_log("list.taken generation=2 servers=1 added=1 changed=0 removed=0");
+    broker.program.wait_for_log("reason=moved");
     let place = made.header("location").unwrap();
     assert_eq!(ask(&broker.program, "DELETE", place, None).status, 404, "what stood there is over");
     assert_eq!(broker.play().status, 201);
@@ -464,14 +464,14 @@
     let status = |title: &str| ask(&broker.program, "POST", &format!("/whep/{title}"), Some(OFFER)).status;
     assert_eq!((status("sofa"), status("rug"), status("guide")), (201, 404, 404));
     write(&broker.program.files.0, &["sofa", "rug"], pass);
-    broker.program.logged("titles.taken titles=2");
+    broker.program.wait_for_log("titles.taken titles=2");
     assert_eq!((status("sofa"), status("rug")), (201, 201));
     write(&broker.program.files.0, &["sofa", "rug"], refuse);
-    broker.program.nth_logged("script.taken", 1);
+    broker.program.wait_for_nth_log("script.taken", 1);
     assert_eq!((status("sofa"), status("rug")), (201, 503));
     // A script that can't be read leaves the one in use.
     write(&broker.program.files.0, &["sofa", "rug"], "fn on_request(");
-    broker.program.logged("script.refused file=hook.rhai");
+    broker.program.wait_for_log("script.refused file=hook.rhai");
     assert_eq!((status("sofa"), status("rug")), (201, 503));
 }
 
@@ -481,15 +481,15 @@
     let plain = |id: &str| server(id, &edge, 0, "").into_bytes();
     let watch = format!("unsealed = true\nstate = \"state\"\nhold_ms = 0\n{NEVER}");
     let broker = Broker::start(&watch, &plain("one"));
-    broker.program.logged("list.none");
+    broker.program.wait_for_log("list.none");
     broker.rename(&plain("two"));
-    broker.program.logged("list.taken generation=1 servers=1");
-    let said = |broker: &Broker| broker.program.nth_logged("list.refused", 0);
+    broker.program.wait_for_log("list.taken generation=1 servers=1");
+    let said = |broker: &Broker| broker.program.wait_for_nth_log("list.refused", 0);
     fs::write(&broker.list, plain("three")).unwrap();
     broker.program.hang_up();
     assert!(said(&broker).contains("amberspindle seal lists/servers.toml"));
     broker.rename(&plain("four"));
-    broker.program.logged("list.taken generation=2 ");
+    broker.program.wait_for_log("list.taken generation=2 ");
     while !broker.program.files.0.join("state/amberspindle.state").exists() {
         std::thread::yield_now();
     }
@@ -499,7 +499,7 @@
 fn the_log_may_be_json_with_an_event_and_its_fields() {
     let edge = Edge::start(EdgeBehaviour::Answers);
     let broker = Broker::with_log(NEVER, &list(&[("one", &edge, "")]), &["--log-format", "json"]);
-    let line = broker.program.logged("list.taken");
+    let line = broker.program.wait_for_log("list.taken");
     let value: serde_json::Value = serde_json::from_str(&line).unwrap();
     for (field, told) in [
         ("event", serde_json::json!("list.taken")),
--- a/tests/whip.rs
+++ b/tests/whip.rs
@@ -18,7 +18,7 @@
     let edge = Edge::start(EdgeBehaviour::Answers);
     let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "");
     let made = ask(&program, "POST", "/whep/guide", Some(OFFER));
-    let id = edge.nth_set_up(1);
+    let id = edge.wait_for_set_up(1);
     assert_eq!((made.status, made.body), (201, edge_answer(id, OFFER)));
     assert_eq!(edge.set_ups()[0].1, OFFER);
     assert_eq!(made.head.matches("application/sdp").count(), 1);
@@ -61,8 +61,8 @@
     let mut broken = program.connect("http");
     broken.write_all(b"no http\r\n\r\n").unwrap();
     assert_eq!(reply(&mut broken).unwrap().status, 400);
-    program.logged("peer=http");
-    program.logged("reason=bad-request");
+    program.wait_for_log("peer=http");
+    program.wait_for_log("reason=bad-request");
 }
 
 #[test]
@@ -75,7 +75,7 @@
     assert_eq!(first, again);
     assert_eq!(ask(&program, "POST", BOOKING, Some(OTHER)).status, 409);
     assert_eq!(ask(&program, "DELETE", BOOKING, None).status, 200);
-    edge.released(edge.nth_set_up(1), 1);
+    edge.released(edge.wait_for_set_up(1), 1);
     assert_eq!(ask(&program, "POST", BOOKING, Some(OFFER)).status, 409, "the booking is spent");
     assert_eq!(edge.set_ups().len(), 1);
 }
@@ -115,11 +115,11 @@
     let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "");
     let mut post = program.connect("http");
     post.write_all(&http("POST", BOOKING, Some(OFFER))).unwrap();
-    let id = edge.nth_set_up(1);
+    let id = edge.wait_for_set_up(1);
     assert_eq!(ask(&program, "DELETE", BOOKING, None).status, 200);
     assert_eq!(reply(&mut post).unwrap().status, 409);
     edge.released(id, 1);
-    edge.answer_now(id);
+    edge.send_answer(id);
     edge.released(id, 2);
     assert_eq!(ask(&program, "POST", BOOKING, Some(OFFER)).status, 409, "the booking is spent");
     assert_eq!(edge.set_ups().len(), 1);
@@ -134,10 +134,10 @@
     let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "");
     let mut post = program.connect("http");
     post.write_all(&http("POST", BOOKING, Some(OFFER))).unwrap();
-    let id = edge.nth_set_up(1);
+    let id = edge.wait_for_set_up(1);
     post.shutdown(Shutdown::Both).unwrap();
-    program.logged("peer=http");
-    edge.answer_now(id);
+    program.wait_for_log("peer=http");
+    edge.send_answer(id);
     let claimed = ask(&program, "POST", BOOKING, Some(OFFER));
     assert_eq!((claimed.status, claimed.body), (201, edge_answer(id, OFFER)));
     assert_eq!(edge.set_ups().len(), 1);
@@ -150,11 +150,11 @@
     for (n, path) in [BOOKING, "/whep/guide"].into_iter().enumerate() {
         let mut post = program.connect("http");
         post.write_all(&http("POST", path, Some(OFFER))).unwrap();
-        let id = edge.nth_set_up(n + 1);
+        let id = edge.wait_for_set_up(n + 1);
         post.shutdown(Shutdown::Both).unwrap();
         if path == BOOKING {
-            program.logged("peer=http");
-            edge.answer_now(id);
+            program.wait_for_log("peer=http");
+            edge.send_answer(id);
         }
         edge.released(id, 1);
     }
