--- a/lab/src/deployment.rs
+++ b/lab/src/deployment.rs
@@ -3,7 +3,7 @@
 
 mod drawn;
 
-use amberspindle::api::{Class, Effect, KeyScope, Micros, Rung, Settings};
+use amberspindle::api::{Class, Idempotency, KeyScope, Micros, Rung, Settings};
 use serde::Deserialize;
 
 /// What a repeated set-up of a class does.
@@ -140,10 +140,10 @@
 
 impl ClassRecord {
     fn class(&self) -> Class {
-        let keyed = Effect::Keyed { scope: KeyScope::All, window: ms(self.deadline_ms) };
+        let keyed = Idempotency::Keyed { scope: KeyScope::All, window: ms(self.deadline_ms) };
         let effect = match self.repeat {
-            Repeat::Safe => Effect::Safe,
-            Repeat::Paid => Effect::Unsafe,
+            Repeat::Safe => Idempotency::Safe,
+            Repeat::Paid => Idempotency::Unsafe,
             Repeat::Keyed => keyed,
         };
         Class {
@@ -192,20 +192,22 @@
     pub fn settings(&self, brokers: u32, boxes: usize, cells: u32) -> Settings {
         let mut set = Settings::new(self.ladder_kb.clone(), self.ladder_worth.clone());
         set.classes = self.classes.iter().map(ClassRecord::class).collect();
-        (set.fronts, set.cells) = (brokers, cells);
+        (set.broker_count, set.cells) = (brokers, cells);
         // Racks are cells modulo their number.
         set.racks = (boxes.div_ceil(self.rack_boxes.max(1)) as u32).min(cells);
         set.tick = ms(10);
         set.link_unit_kb = self.link_kb;
         set.rack_kb = self.link_kb * self.uplink_part * boxes as f64 / f64::from(set.racks);
         set.kind_streams = vec![self.streams];
-        (set.join, set.stall, set.switch_s) = (self.join, self.stall, self.switch_s);
-        (set.see, set.tell, set.guard) = (ms(self.see_ms), ms(self.tell_ms), self.guard);
+        (set.shared_viewer_cost, set.shortfall_penalty, set.switch_s) =
+            (self.join, self.stall, self.switch_s);
+        (set.note_delay, set.load_note_interval, set.link_limit) =
+            (ms(self.see_ms), ms(self.tell_ms), self.guard);
         (set.max_attempts, set.max_retry_after) = (self.attempts_most, ms(self.retry_after_ms));
         (set.move_price, set.handshake_price) = (self.move_price, self.handshake_price);
         (set.idle, set.drain_grace) = (ms(self.idle_ms), ms(self.drain_grace_ms));
-        (set.cold, set.cold_from) = (ms(self.cold_ms), self.cold_from);
-        (set.fall_multiple, set.fall) = (self.fall_multiple, ms(self.fall_ms));
+        (set.warm_up, set.initial_capacity) = (ms(self.cold_ms), self.cold_from);
+        (set.overload_factor, set.overload_window) = (self.fall_multiple, ms(self.fall_ms));
         set.uplink_reported = self.reports_uplinks();
         set
     }
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -8,12 +8,12 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use amberspindle::api::{Effect, ListKind, Micros, ServerEntry, ServerId, ServerState, SessionId, Text};
+use amberspindle::api::{Idempotency, ListKind, Micros, ServerEntry, ServerId, ServerState, SessionId, Text};
 use amberspindle::message::binary::{Builder, Decoder, code};
 use amberspindle::message::{Kind, cause};
-use amberspindle::node::{Front, Node};
-use amberspindle::platform::links::{Closed, Command, ConnId};
-use amberspindle::roster::{Listed, News};
+use amberspindle::node::{Node, Protocol};
+use amberspindle::platform::links::{Command, ConnId, ConnectionEnd};
+use amberspindle::roster::{ListUpdate, ListedServer};
 use serde_json::{Value, json};
 
 use crate::boxes::{Health, Held, MediaBox, delivered, uplink};
@@ -85,7 +85,7 @@
     /// Something goes wrong.
     Fault(Fault),
     /// A broker hears of a change of the list.
-    News(usize, u32, Vec<Listed>),
+    News(usize, u32, Vec<ListedServer>),
 }
 
 struct Slot {
@@ -152,7 +152,7 @@
         for (at, fault) in &plan.faults {
             queue.at(START + *at, Due::Fault(*fault));
         }
-        queue.after(set.tell, Due::Tell);
+        queue.after(set.load_note_interval, Due::Tell);
         queue.after(SHORT_EVERY, Due::Short);
         queue.after(SAMPLE, Due::Sample);
         let mut world = World {
@@ -202,14 +202,16 @@
             Due::GivesUp(id) => self.gives_up(id),
             Due::Dialled(line, of) if self.lives(&line) => self.dialled(line, of),
             Due::Unanswered(line) if self.lives(&line) => {
-                self.with(line.broker, |node, out| node.closed(now, line.conn, &Closed::NoAnswer, out));
+                self.with(line.broker, |node, out| {
+                    node.closed(now, line.conn, &ConnectionEnd::NoAnswer, out)
+                });
             }
             Due::ToBox(line, of, bytes) => self.box_hears(line, of, &bytes),
             Due::ToBroker(line, bytes) if self.lives(&line) => {
                 self.with(line.broker, |node, out| node.bytes(now, line.conn, &bytes, out));
             }
             Due::Ended(line, reset) if self.lives(&line) => {
-                let how = Closed::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset };
+                let how = ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset };
                 self.with(line.broker, |node, out| node.closed(now, line.conn, &how, out));
             }
             Due::LeftBox(line, of) => self.left(line, of),
@@ -221,7 +223,7 @@
             Due::Sample => self.sample(),
             Due::Fault(fault) => self.fault(fault),
             Due::News(broker, start, servers) if self.slots[broker].start == start => {
-                self.hear(broker, News { kind: ListKind::Changes, servers });
+                self.hear(broker, ListUpdate { kind: ListKind::Changes, servers });
             }
             Due::Dialled(..)
             | Due::Unanswered(_)
--- a/lab/src/world/viewers.rs
+++ b/lab/src/world/viewers.rs
@@ -14,7 +14,7 @@
             let end = (ask.at + ask.life).min(self.plan.length);
             self.tally.worth.0 += worth * (end - ask.at).secs();
         }
-        self.rules.asked(ask.id, class.effect == Effect::Unsafe, now + class.deadline);
+        self.rules.asked(ask.id, class.idempotency == Idempotency::Unsafe, now + class.deadline);
         let extras = format!(
             "home:{};copies:{};top:{};viewer:{:016x}{}",
             ask.home,
@@ -42,7 +42,7 @@
             None => {
                 let conn = self.slots[broker].node.number();
                 self.slots[broker].viewers = Some(conn);
-                self.with(broker, |node, _| node.accepted(now, conn, Front::Platform));
+                self.with(broker, |node, _| node.accepted(now, conn, Protocol::Platform));
                 conn
             }
         };
@@ -92,7 +92,7 @@
                 self.tally.plays += 1;
                 let took = now - of.asked;
                 self.tally.took.push(took.0);
-                let in_time = took <= self.plan.settings.classes[of.ask.class].aim;
+                let in_time = took <= self.plan.settings.classes[of.ask.class].slo;
                 self.tally.in_time += u64::from(of.tries == 1 && in_time);
             }
             ("release", true) => {
--- a/src/broker/answers.rs
+++ b/src/broker/answers.rs
@@ -33,25 +33,25 @@
     ) {
         if self.sessions.attempt_at(id, &server).is_some() {
             self.answer_plays(now, id, answer, out);
-        } else if !self.stands(id, &server) && self.late.came(now, id, &server) {
+        } else if !self.is_established_at(id, &server) && self.late.came(now, id, &server) {
             // A late answer to an attempt that was given up: nobody waits for it, and it must not play on. Other
             // answers, as second copies or under ids of others, may concern sessions that stand elsewhere.
-            out.push(Effect::Cut(id, server));
+            out.push(Effect::Release(id, server));
         }
     }
 
     fn answer_plays(&mut self, now: Micros, id: SessionId, answer: Description, out: &mut Vec<Effect>) {
         let Some(attempt) = self.sessions.stand(id) else { return };
-        out.push(Effect::Plays(id, answer));
+        out.push(Effect::Established(id, answer));
         let took = now - attempt.sent_at;
-        self.events.push_back(Event::First { id, attempt: attempt.number, server: attempt.server, took });
+        self.events.push_back(Event::SetUpDone { id, attempt: attempt.number, server: attempt.server, took });
     }
 
     /// A server, or its connection, ended the attempt or the session; nothing happens if neither is there.
     pub(super) fn over(&mut self, now: Micros, id: SessionId, outcome: ServerOutcome, out: &mut Vec<Effect>) {
         if self.sessions.attempt_at(id, &outcome.server).is_some() {
             self.attempt_over(now, id, outcome);
-        } else if self.stands(id, &outcome.server) {
+        } else if self.is_established_at(id, &outcome.server) {
             self.session_over(id, outcome, out);
         }
     }
@@ -82,7 +82,7 @@
     pub(super) fn release_standing(&mut self, now: Micros, out: &mut Vec<Effect>) {
         for id in self.sessions.standing_ids() {
             let Some(server) = self.sessions.server_of(id).cloned() else { continue };
-            out.push(Effect::Cut(id, server.clone()));
+            out.push(Effect::Release(id, server.clone()));
             self.over(now, id, ServerOutcome::reset(server), out);
         }
     }
@@ -91,7 +91,7 @@
     pub(super) fn move_session(&mut self, id: SessionId, out: &mut Vec<Effect>) {
         let Some(placement) = self.sessions.remove_standing(id) else { return };
         out.push(Effect::Moved(id));
-        out.push(Effect::Cut(id, placement.server.clone()));
+        out.push(Effect::Release(id, placement.server.clone()));
         self.report_cancelled(id, placement);
     }
 
@@ -122,7 +122,7 @@
     pub(super) fn deadline_backstop(&mut self, now: Micros, id: SessionId, out: &mut Vec<Effect>) {
         let owed = self.sessions.get(id).is_some_and(|session| session.unanswered());
         if owed && !mutant::on(Mutant::ForgottenDeadline) {
-            self.events.push_back(Event::Gone(id));
+            self.events.push_back(Event::ViewerLeft(id));
             self.fail(now, id, true, out);
         }
     }
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -26,13 +26,13 @@
 pub use queries::OpenRequest;
 
 use crate::api::{
-    Action, Effect as Repeat, Event, ListKind, Micros, Note, Rung, ServerEntry, ServerId, SessionId, Settings,
+    Action, Event, Idempotency, ListKind, Micros, Note, Rung, ServerEntry, ServerId, SessionId, Settings,
 };
 use crate::brain::Brain;
 use alarms::{Alarm, Alarms};
 use answers::ServerOutcome;
 use late::Late;
-use renewal::{FrontPlace, Told};
+use renewal::{FleetPosition, Told};
 use sessions::SessionTable;
 
 /// The core of one playback broker.
@@ -43,7 +43,7 @@
     seed: u64,
     guard: Guard,
     /// What a repeated set-up does, by class.
-    classes: Vec<Repeat>,
+    classes: Vec<Idempotency>,
     /// Attempts for one session at most.
     max_attempts: u32,
     sessions: SessionTable,
@@ -67,7 +67,7 @@
     }
 
     /// A core round any module: what a repeat does in each class, and the cap on attempts.
-    pub fn with(classes: Vec<Repeat>, max_attempts: u32, seed: u64, mut make: Make) -> Broker {
+    pub fn with(classes: Vec<Idempotency>, max_attempts: u32, seed: u64, mut make: Make) -> Broker {
         Broker {
             module: make(seed),
             make,
@@ -106,22 +106,22 @@
     fn take_in(&mut self, now: Micros, input: Input, out: &mut Vec<Effect>) {
         match input {
             Input::Servers { kind, servers } => self.servers_listed(kind, servers),
-            Input::Fronts(count, place) => self.fronts_changed(FrontPlace { count, place }),
+            Input::FleetPosition(count, place) => self.fronts_changed(FleetPosition { count, place }),
             Input::Request(request, offer) => self.request(now, request, offer, out),
-            Input::Open(request, server) => self.open(request, server, out),
-            Input::Left(id) => self.left(id, out),
-            Input::Stands { id, server, answer } => self.stood(now, id, server, answer, out),
-            Input::Over { id, server, status, load } => {
+            Input::ExistingSession(request, server) => self.open(request, server, out),
+            Input::ClientLeft(id) => self.left(id, out),
+            Input::Established { id, server, answer } => self.stood(now, id, server, answer, out),
+            Input::Ended { id, server, status, load } => {
                 self.over(now, id, ServerOutcome { server, status, load }, out);
             }
             Input::Withdrawn { id, server } => self.withdrawn(now, id, &server),
             Input::Note { id, server, note } => self.noted(id, server, note),
             Input::Settings(settings) => self.settings_changed(settings),
-            Input::Passed(id) => self.passed(id),
-            Input::Turns(from) => self.turns_changed(from),
-            Input::Ends(at) => self.ends(at),
-            Input::Lost(server) => self.server_lost(now, server, out),
-            Input::End => {
+            Input::HandedOver(id) => self.passed(id),
+            Input::WarmUpTurnsFrom(from) => self.turns_changed(from),
+            Input::ShutdownDeadline(at) => self.ends(at),
+            Input::ServerLost(server) => self.server_lost(now, server, out),
+            Input::Shutdown => {
                 self.answer_all(now, out);
                 self.release_standing(now, out);
             }
@@ -131,17 +131,17 @@
 
     fn servers_listed(&mut self, kind: ListKind, servers: Vec<ServerEntry>) {
         self.guard.listed(kind, &servers);
-        self.events.push_back(Event::Members { kind, servers });
+        self.events.push_back(Event::ServerList { kind, servers });
     }
 
-    fn fronts_changed(&mut self, fronts: FrontPlace) {
+    fn fronts_changed(&mut self, fronts: FleetPosition) {
         self.told.fronts = Some(fronts);
         self.events.push_back(fronts.event());
     }
 
     fn turns_changed(&mut self, from: Micros) {
         self.told.turns = Some(from);
-        self.events.push_back(Event::Turns(from));
+        self.events.push_back(Event::WarmUpTurnsFrom(from));
     }
 
     fn settings_changed(&mut self, settings: Box<Settings>) {
@@ -150,13 +150,13 @@
         self.full_retry_after = settings.max_retry_after;
         self.events.push_back(Event::Settings(settings.clone()));
         // The new settings carry a place among the fronts of their own.
-        self.events.extend(self.told.fronts.map(FrontPlace::event));
+        self.events.extend(self.told.fronts.map(FleetPosition::event));
         self.told.settings = Some(settings);
     }
 
     /// A note counts only if it comes from where the session stands.
     fn noted(&mut self, id: SessionId, server: ServerId, note: Note) {
-        if !self.stands(id, &server) {
+        if !self.is_established_at(id, &server) {
             return;
         }
         if let (Note::Rung(rung), Some(session)) = (note, self.sessions.get_mut(id)) {
@@ -217,6 +217,6 @@
 }
 
 /// What a repeated set-up does, by class.
-fn repeats(settings: &Settings) -> Vec<Repeat> {
-    settings.classes.iter().map(|class| class.effect).collect()
+fn repeats(settings: &Settings) -> Vec<Idempotency> {
+    settings.classes.iter().map(|class| class.idempotency).collect()
 }
--- a/src/broker/renewal.rs
+++ b/src/broker/renewal.rs
@@ -5,17 +5,17 @@
 
 /// The number of fronts, and which of them this one is.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct FrontPlace {
+pub(super) struct FleetPosition {
     /// How many; not 0.
     pub count: u32,
     /// This one's number, from 0.
     pub place: u32,
 }
 
-impl FrontPlace {
+impl FleetPosition {
     /// The same as the module hears it.
     pub fn event(self) -> Event {
-        Event::Fronts { count: self.count, place: self.place }
+        Event::FleetPosition { count: self.count, place: self.place }
     }
 }
 
@@ -27,7 +27,7 @@
     /// From when on turns at cold servers are this front's.
     pub turns: Option<Micros>,
     /// The place among the fronts.
-    pub fronts: Option<FrontPlace>,
+    pub fronts: Option<FleetPosition>,
     /// By when each request must have its answer, as the process ends.
     pub answer_by: Option<Micros>,
 }
@@ -35,9 +35,9 @@
 impl Told {
     fn events(&self) -> impl Iterator<Item = Event> {
         let settings = self.settings.clone().map(Event::Settings);
-        let turns = self.turns.map(Event::Turns);
-        let fronts = self.fronts.map(FrontPlace::event);
-        let ends = self.answer_by.map(Event::Ends);
+        let turns = self.turns.map(Event::WarmUpTurnsFrom);
+        let fronts = self.fronts.map(FleetPosition::event);
+        let ends = self.answer_by.map(Event::ShutdownDeadline);
         settings.into_iter().chain(turns).chain(fronts).chain(ends)
     }
 }
@@ -52,7 +52,7 @@
         self.alarms.drop_module_timers();
         self.events.clear();
         self.events.extend(self.told.events());
-        self.events.push_back(Event::Members { kind: ListKind::Complete, servers: self.guard.list() });
+        self.events.push_back(Event::ServerList { kind: ListKind::Complete, servers: self.guard.list() });
         for id in self.sessions.standing_ids() {
             self.tell_standing(id);
         }
@@ -63,9 +63,9 @@
 
     /// The new module hears of a session that stands, and of its rung if that is known.
     fn tell_standing(&mut self, id: SessionId) {
-        let Some((request, server, rung)) = self.standing_as(id) else { return };
+        let Some((request, server, rung)) = self.established_session(id) else { return };
         let note = rung.map(|rung| Event::Note { id, server: server.clone(), note: Note::Rung(rung) });
-        self.events.push_back(Event::Open { request, server });
+        self.events.push_back(Event::ExistingSession { request, server });
         self.events.extend(note);
     }
 }
--- a/src/eureka.rs
+++ b/src/eureka.rs
@@ -8,11 +8,11 @@
 
 use crate::api::{ListKind, Micros, ServerEntry, ServerId, ServerState, Text};
 use crate::http::{client, uri};
-use crate::roster::{Listed, Names, News, Paths};
+use crate::roster::{ListUpdate, ListedServer, Paths, SettingNames};
 
 /// How a broker takes part in a registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Setup {
+pub struct EurekaConfig {
     /// Where the registry listens.
     pub address: SocketAddr,
     /// Path that its resources lie under, such as `/eureka`.
@@ -20,7 +20,7 @@
     /// The application that the edge servers are registered as.
     pub servers: String,
     /// The application that this broker registers as; none: it doesn't.
-    pub register: Option<Own>,
+    pub register: Option<Registration>,
     /// Time between fetches.
     pub fetch: Micros,
     /// Time between heartbeats.
@@ -29,7 +29,7 @@
 
 /// What a broker registers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Own {
+pub struct Registration {
     /// Its application.
     pub app: String,
     /// Its instance id.
@@ -64,8 +64,8 @@
 /// Takes part in one registry.
 #[derive(Debug)]
 pub struct Eureka {
-    setup: Setup,
-    names: Names,
+    setup: EurekaConfig,
+    names: SettingNames,
     registered: bool,
     beat_at: Micros,
     fetch_at: Micros,
@@ -76,12 +76,12 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Instance {
     status: String,
-    listed: Option<Listed>,
+    listed: Option<ListedServer>,
 }
 
 impl Eureka {
     /// Knows nothing of the registry yet.
-    pub fn new(setup: Setup, names: Names) -> Eureka {
+    pub fn new(setup: EurekaConfig, names: SettingNames) -> Eureka {
         let (beat_at, fetch_at) = (Micros(0), Micros(0));
         Eureka { setup, names, registered: false, beat_at, fetch_at, known: None }
     }
@@ -112,7 +112,7 @@
     pub fn request(&self, call: Call) -> Vec<u8> {
         let (host, root) = (self.setup.address.to_string(), &self.setup.path);
         let headers = [("Accept", "application/json"), ("Connection", "close")];
-        let own = |o: &Own| format!("{root}/apps/{}/{}", o.app, o.id);
+        let own = |o: &Registration| format!("{root}/apps/{}/{}", o.app, o.id);
         let plain = |method: &str, path: &str| client::request(method, &host, path, &headers, None);
         match (call, &self.setup.register) {
             (Call::Register, Some(o)) => {
@@ -128,7 +128,7 @@
     }
 
     /// Takes a call's result in; gives what it tells of the list. Whatever fails, the list that is held stays.
-    pub fn replied(&mut self, now: Micros, call: Call, reply: Reply<'_>) -> Option<News> {
+    pub fn replied(&mut self, now: Micros, call: Call, reply: Reply<'_>) -> Option<ListUpdate> {
         let status = reply.map(|r| r.0);
         let good = status.is_some_and(|s| (200..300).contains(&s));
         match call {
@@ -169,7 +169,7 @@
         }
     }
 
-    fn full(&mut self, applications: &Value) -> News {
+    fn full(&mut self, applications: &Value) -> ListUpdate {
         let mut known = BTreeMap::new();
         for (app, value) in instances(applications) {
             if let Some((id, instance)) = self.instance(app, value) {
@@ -178,10 +178,10 @@
         }
         let servers = known.values().filter_map(|i| i.listed.clone()).collect();
         self.known = Some(known);
-        News { kind: ListKind::Complete, servers }
+        ListUpdate { kind: ListKind::Complete, servers }
     }
 
-    fn delta(&mut self, now: Micros, applications: &Value) -> Option<News> {
+    fn delta(&mut self, now: Micros, applications: &Value) -> Option<ListUpdate> {
         let mut known = self.known.take()?;
         let mut servers = Vec::new();
         for (app, value) in instances(applications) {
@@ -203,7 +203,7 @@
         } else {
             self.known = Some(known);
         }
-        if servers.is_empty() { None } else { Some(News { kind: ListKind::Changes, servers }) }
+        if servers.is_empty() { None } else { Some(ListUpdate { kind: ListKind::Changes, servers }) }
     }
 
     fn instance(&self, app: &str, value: &Value) -> Option<(String, Instance)> {
@@ -215,7 +215,7 @@
         Some((id.to_owned(), Instance { status: status.to_owned(), listed }))
     }
 
-    fn listed(&self, id: &str, status: &str, value: &Value) -> Option<Listed> {
+    fn listed(&self, id: &str, status: &str, value: &Value) -> Option<ListedServer> {
         let number =
             |v: Option<&Value>| v.and_then(|v| v.as_f64().or_else(|| v.as_str()?.trim().parse().ok()));
         let metadata = |key: &str| value.get("metadata").and_then(|m| m.get(key));
@@ -232,7 +232,7 @@
         let mut entry = ServerEntry::new(ServerId::new(id), state, whole("cell")?);
         entry.zone = whole("zone").unwrap_or(0);
         let kind = metadata("kind").and_then(Value::as_str);
-        entry.kind = kind.and_then(|k| Names::index(&self.names.kinds, k)).unwrap_or(0);
+        entry.kind = kind.and_then(|k| SettingNames::index(&self.names.kinds, k)).unwrap_or(0);
         entry.weight = number(metadata("weight")).filter(|w| w.is_finite() && *w > 0.0).unwrap_or(1.0);
         let up = number(value.get("leaseInfo").and_then(|l| l.get("serviceUpTimestamp")));
         entry.up_since = up.filter(|ms| *ms > 0.0).map(Micros::from_ms);
@@ -241,7 +241,7 @@
             |key: &str| metadata(key).and_then(Value::as_str).filter(|p| uri::is_path(p)).map(Text::from);
         let paths =
             path("whep").map(|set_up| Paths { set_up, end: path("whep_end"), events: path("whep_events") });
-        Some(Listed { entry, address: SocketAddr::new(host, port), paths })
+        Some(ListedServer { entry, address: SocketAddr::new(host, port), paths })
     }
 }
 
@@ -271,7 +271,7 @@
     counts.iter().map(|(status, n)| format!("{status}_{n}_")).collect()
 }
 
-fn registration(own: &Own) -> Value {
+fn registration(own: &Registration) -> Value {
     let (host, port) = (own.address.ip().to_string(), own.address.port());
     json!({"instance": {
         "instanceId": own.id, "hostName": host, "app": own.app, "ipAddr": host, "status": "UP",
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,19 +7,19 @@
 //! ```
 //! use amberspindle::api::{Action, Event, ListKind, Micros, Request, ServerEntry, ServerState, Settings};
 //! use amberspindle::brain::Brain;
-//! # use amberspindle::api::{Class, Effect, ServerId, SessionId, Text};
+//! # use amberspindle::api::{Class, Idempotency, ServerId, SessionId, Text};
 //! let mut settings = Settings::new(vec![200.0, 400.0, 800.0], vec![0.3, 0.6, 1.0]);
 //! settings.cells = 3;
 //! settings.racks = 1;
 //! settings.link_unit_kb = 4000.0;
 //! settings.rack_kb = 12000.0;
-//! settings.classes.push(Class::new(Micros::from_ms(800.0), Micros::from_ms(3000.0), Effect::Safe));
+//! settings.classes.push(Class::new(Micros::from_ms(800.0), Micros::from_ms(3000.0), Idempotency::Safe));
 //! let mut brain = Brain::new(settings, 7);
 //!
 //! let mut actions = Vec::new();
 //! let now = Micros(1_000_000);
 //! let list = vec![ServerEntry::new(ServerId::new("10.0.0.1:80"), ServerState::Ready, 0)];
-//! brain.handle(now, Event::Members { kind: ListKind::Complete, servers: list }, &mut actions);
+//! brain.handle(now, Event::ServerList { kind: ListKind::Complete, servers: list }, &mut actions);
 //! let request = Request::new(SessionId(1), Text::from("title"), now + Micros::from_ms(3000.0), 3, 2);
 //! brain.handle(now, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { .. })));
--- a/src/module/brain/mod.rs
+++ b/src/module/brain/mod.rs
@@ -73,26 +73,28 @@
             self.freshen();
         }
         match event {
-            Event::Members { kind, servers } => self.members(kind, servers, out),
+            Event::ServerList { kind, servers } => self.members(kind, servers, out),
             Event::Request(req) => self.request(req, out),
-            Event::Open { request, server } => self.open(request, &server),
-            Event::First { id, server, took, .. } => self.first(id, &server, took, out),
+            Event::ExistingSession { request, server } => self.open(request, &server),
+            Event::SetUpDone { id, server, took, .. } => self.first(id, &server, took, out),
             Event::Note { id, server, note } => self.note(id, &server, note, out),
             Event::Outcome { id, server, status, closed, load, .. } => {
                 self.outcome(id, &server, (status, closed, load), out);
             }
             Event::Withdrawing(id) => self.withdrawing(id),
-            Event::Gone(id) => self.gone(id),
+            Event::ViewerLeft(id) => self.gone(id),
             Event::Timer(DEADLINE_TIMER) => self.answer_due(out),
             Event::Timer(_) => self.look(out),
-            Event::Fronts { count, place } => (self.set.fronts, self.set.me) = (count.max(1), place),
+            Event::FleetPosition { count, place } => {
+                (self.set.broker_count, self.set.broker_index) = (count.max(1), place)
+            }
             Event::Settings(set) => {
                 self.book.tenants.resize(set.tenants.len(), (0.0, Micros(0)));
                 self.set = *set;
                 self.refile();
             }
-            Event::Turns(from) => self.book.turns_from = from,
-            Event::Ends(at) => self.ends(at, out),
+            Event::WarmUpTurnsFrom(from) => self.book.turns_from = from,
+            Event::ShutdownDeadline(at) => self.ends(at, out),
             Event::Probed { .. } | Event::Peer { .. } => {}
         }
         if !self.book.ticking && !self.book.sessions.is_empty() {
@@ -200,7 +202,7 @@
     fn constraints(&self, id: SessionId) -> Constraints {
         let s = &self.book.sessions[&id];
         let (class, cells) = (s.req.class, self.set.cells.max(1));
-        let bound = s.ran.filter(|_| self.set.classes[class].effect != Effect::Safe);
+        let bound = s.ran.filter(|_| self.set.classes[class].idempotency != Idempotency::Safe);
         Constraints {
             class,
             home: s.req.home % cells,
--- a/src/net/ending.rs
+++ b/src/net/ending.rs
@@ -11,7 +11,7 @@
 use super::outbox::Bell;
 use super::{Handle, step};
 use crate::node::{HeldRequest, Remaining};
-use crate::operate::planned_end::{Killer, Left, PlannedEnd, Step};
+use crate::operate::planned_end::{KillPolicy, RemainingWork, ShutdownPlan, Step};
 
 /// Time between two looks at what is left.
 const LOOK: Duration = Duration::from_millis(10);
@@ -35,16 +35,16 @@
 }
 
 impl Ending {
-    fn left(&self, shared: &Handle) -> Left {
+    fn left(&self, shared: &Handle) -> RemainingWork {
         let Remaining { unanswered, playing, unheard_ends, .. } = shared.node.borrow().remaining();
         let registered = self.registry.as_ref().is_some_and(|task| !task.is_finished());
-        Left {
+        RemainingWork {
             unanswered,
             playing,
             connections: shared.accepted.get(),
             unheard_ends: unheard_ends + usize::from(registered),
             accepting: self.fronts.iter().any(|front| !front.is_finished()),
-            heir_serves: self.handover.as_ref().is_some_and(|handover| handover.yielded()),
+            successor_serves: self.handover.as_ref().is_some_and(|handover| handover.yielded()),
         }
     }
 }
@@ -53,19 +53,19 @@
 pub(super) async fn end(shared: &Handle, ending: Ending) {
     let longest = || shared.timings.get().longest_deadline;
     let killer = if ending.platform {
-        Killer::Platform { heir_serves: ending.left(shared).heir_serves }
+        KillPolicy::Platform { successor_serves: ending.left(shared).successor_serves }
     } else {
-        Killer::ProcessManager
+        KillPolicy::ProcessManager
     };
-    let mut plan = PlannedEnd::new(shared.now(), longest(), killer);
+    let mut plan = ShutdownPlan::new(shared.now(), longest(), killer);
     let mut answer_by = plan.answer_by();
-    step(shared, |node, now, out| node.ends_by(now, answer_by, out));
+    step(shared, |node, now, out| node.set_shutdown_deadline(now, answer_by, out));
     let reports = shared.executor.spawn(report(shared.clone(), plan));
     loop {
         plan.shorten(longest());
         if plan.answer_by() < answer_by {
             answer_by = plan.answer_by();
-            step(shared, |node, now, out| node.ends_by(now, answer_by, out));
+            step(shared, |node, now, out| node.set_shutdown_deadline(now, answer_by, out));
         }
         while let Some(next) = plan.next(shared.now(), ending.left(shared)) {
             let left_ms = (plan.kill_at() - shared.now()).0 / 1000;
@@ -73,7 +73,7 @@
             match next {
                 Step::LastCall => ending.last_calls.iter().for_each(|bell| bell.ring()),
                 // Nothing runs between the count and this: what comes from here on is turned away.
-                Step::CloseDoors => step(shared, |node, _, out| node.close_doors(out)),
+                Step::CloseDoors => step(shared, |node, _, out| node.start_refusing(out)),
                 Step::Release => step(shared, |node, now, out| node.end(now, out)),
                 Step::Exit => {
                     reports.cancel().await;
@@ -87,7 +87,7 @@
 }
 
 /// Tells, again and again, what keeps the process up.
-async fn report(shared: Handle, plan: PlannedEnd) {
+async fn report(shared: Handle, plan: ShutdownPlan) {
     loop {
         tell_remaining(&shared, plan);
         Timer::after(REPORT_EVERY).await;
@@ -95,7 +95,7 @@
 }
 
 /// Tells once what keeps the process up.
-fn tell_remaining(shared: &Handle, plan: PlannedEnd) {
+fn tell_remaining(shared: &Handle, plan: ShutdownPlan) {
     let Remaining { unanswered, playing, clients, unheard_ends } = shared.node.borrow().remaining();
     let unwritten = shared.boxes.borrow().values().filter(|outbox| !outbox.empty()).count();
     let now = shared.now();
--- a/src/net/files.rs
+++ b/src/net/files.rs
@@ -19,11 +19,11 @@
 use crate::config::{self, Config};
 use crate::disk::{self, Folder};
 use crate::records::Bounds;
-use crate::roster::{News, Source, Taken, Verdict};
+use crate::roster::{GenerationChange, ListUpdate, OfferOutcome, Source};
 use crate::watch::judge::{self, Lists, Role};
 use crate::watch::seal;
-use crate::watch::state::{Kept, Store};
-use crate::watch::{Act, SetId, Setup, Told, Touch, Watch};
+use crate::watch::state::{SavedLists, Store};
+use crate::watch::{Act, SetId, Touch, Watch, WatchConfig, WatchEvent};
 
 /// What the thread is told.
 enum Word {
@@ -32,12 +32,12 @@
     /// The operator asks for a reading.
     Asked,
     /// A generation was taken.
-    Save(Box<Kept>),
+    Save(Box<SavedLists>),
 }
 
 /// The serving side of watched files.
 pub(super) struct Files {
-    setup: Setup,
+    setup: WatchConfig,
     bounds: Bounds,
     to: mpsc::Sender<Word>,
     /// Lists that are held back.
@@ -45,11 +45,11 @@
     /// What is in use.
     lists: Option<Lists>,
     script: Option<String>,
-    restored: Option<Kept>,
+    restored: Option<SavedLists>,
 }
 
 /// The log's line of a generation that is in use.
-fn log_taken(taken: &Taken) {
+fn log_taken(taken: &GenerationChange) {
     let digest = taken.digest.map(|d| d.short());
     info!(
         event = "list.taken",
@@ -64,43 +64,43 @@
 }
 
 /// Announces a generation in the log and tells the node of it.
-pub(super) fn announce(shared: &Handle, taken: Taken) {
+pub(super) fn announce(shared: &Handle, taken: GenerationChange) {
     log_taken(&taken);
     step(shared, |node, now, out| node.news(now, taken.news, out));
     shared.listed.ring();
 }
 
 /// A source with a list of its own has spoken.
-pub(super) fn hear(shared: &Handle, source: Source, news: News) {
+pub(super) fn hear(shared: &Handle, source: Source, news: ListUpdate) {
     let verdict = shared.roster.borrow_mut().hear(shared.now(), source, news);
     match verdict {
-        Verdict::Taken(taken) => announce(shared, taken),
-        Verdict::Shadowed(by) => {
+        OfferOutcome::Taken(taken) => announce(shared, taken),
+        OfferOutcome::Shadowed(by) => {
             info!(event = "list.shadowed", source = source.name(), by = by.name());
         }
-        Verdict::Same | Verdict::Held { .. } | Verdict::Older { .. } => {}
+        OfferOutcome::Same | OfferOutcome::Held { .. } | OfferOutcome::Older { .. } => {}
     }
 }
 
 impl Files {
     /// Takes in what the thread tells.
-    fn told(&mut self, shared: &Handle, told: Told) {
+    fn told(&mut self, shared: &Handle, told: WatchEvent) {
         match told {
-            Told::Lists(lists, asked) => self.offered(shared, lists, asked),
-            Told::SameScript(digest) => info!(event = "script.same", digest = digest.short().as_str()),
-            Told::Script(digest, text) => {
+            WatchEvent::Lists(lists, asked) => self.offered(shared, lists, asked),
+            WatchEvent::SameScript(digest) => info!(event = "script.same", digest = digest.short().as_str()),
+            WatchEvent::Script(digest, text) => {
                 let operations = self.setup.script.as_ref().map_or(0, |(_, operations)| *operations);
-                if step(shared, |node, _, _| node.rescript(&text, operations)) {
+                if step(shared, |node, _, _| node.replace_script(&text, operations)) {
                     info!(event = "script.taken", digest = digest.short().as_str());
                     self.script = Some(text);
                     self.save(shared);
                 }
             }
-            Told::Withdrawn => {
+            WatchEvent::Withdrawn => {
                 self.waiting = None;
                 shared.roster.borrow_mut().withdraw();
             }
-            Told::Refused { set, finding, quiet } => {
+            WatchEvent::Refused { set, finding, quiet } => {
                 let event = if set == SetId::Lists { "list.refused" } else { "script.refused" };
                 warn!(
                     event,
@@ -117,10 +117,11 @@
     /// Good lists came, perhaps the same as before.
     fn offered(&mut self, shared: &Handle, lists: Lists, asked: bool) {
         let offered = lists.servers.clone();
-        let verdict = offered.map_or(Verdict::Same, |c| shared.roster.borrow_mut().offer(shared.now(), c));
+        let verdict =
+            offered.map_or(OfferOutcome::Same, |c| shared.roster.borrow_mut().offer(shared.now(), c));
         match verdict {
-            Verdict::Taken(taken) => self.taken(shared, taken, lists),
-            Verdict::Same => {
+            OfferOutcome::Taken(taken) => self.taken(shared, taken, lists),
+            OfferOutcome::Same => {
                 self.waiting = None;
                 let news = self.lists.as_ref().is_none_or(|old| old.digest != lists.digest);
                 self.adopt(shared, lists);
@@ -135,7 +136,7 @@
                     info!(event = "list.same", generation, digest = digest.as_deref());
                 }
             }
-            Verdict::Held { until, dropped, of, news } => {
+            OfferOutcome::Held { until, dropped, of, news } => {
                 if news || asked {
                     let wait_ms = (until - shared.now()).0 / 1000;
                     let digest = lists.digest.short();
@@ -144,13 +145,13 @@
                 self.waiting = Some(lists);
                 shared.listed.ring();
             }
-            Verdict::Older { revision, than } => {
+            OfferOutcome::Older { revision, than } => {
                 self.waiting = None;
                 let file = self.name(Role::Servers);
                 let reason = format!("{revision} is older than {than}, which is in use");
                 warn!(event = "list.refused", file, field = "revision", reason = reason.as_str());
             }
-            Verdict::Shadowed(by) => {
+            OfferOutcome::Shadowed(by) => {
                 self.waiting = None;
                 if self.lists.as_ref().is_none_or(|old| old.digest != lists.digest) {
                     info!(event = "list.shadowed", source = Source::Watched.name(), by = by.name());
@@ -165,7 +166,7 @@
     }
 
     /// A generation was taken: the titles that belong to it are in use from now on too.
-    fn taken(&mut self, shared: &Handle, taken: Taken, lists: Lists) {
+    fn taken(&mut self, shared: &Handle, taken: GenerationChange, lists: Lists) {
         (self.waiting, self.restored) = (None, None);
         announce(shared, taken);
         self.adopt(shared, lists);
@@ -176,7 +177,7 @@
         let old = self.lists.as_ref().and_then(|l| l.titles.as_ref());
         if let Some(titles) = lists.titles.as_ref().filter(|new| old != Some(new)) {
             let named = titles.iter().map(|t| config::title(t, shared.node.borrow().names())).collect();
-            shared.node.borrow_mut().retitle(named);
+            shared.node.borrow_mut().replace_titles(named);
             info!(event = "titles.taken", titles = titles.len(), digest = lists.digest.short().as_str());
         }
         self.lists = Some(lists);
@@ -199,7 +200,7 @@
         if let Some(script) = &self.script {
             texts.insert(Role::Script.name().to_owned(), script.clone());
         }
-        let kept = Kept {
+        let kept = SavedLists {
             generation: if watched { current.number } else { 0 },
             taken: shared.now().0,
             texts,
@@ -210,7 +211,7 @@
     }
 
     /// Starts from lists that were kept.
-    fn restore(&mut self, shared: &Handle, kept: Kept) {
+    fn restore(&mut self, shared: &Handle, kept: SavedLists) {
         let file = |role: Role, text: &str| (role, text.to_owned());
         let texts: Vec<_> = self
             .setup
@@ -227,7 +228,7 @@
                         .servers
                         .clone()
                         .map(|c| shared.roster.borrow_mut().restore(now, kept.generation, c, &started));
-                    if let Some(Verdict::Taken(taken)) = verdict {
+                    if let Some(OfferOutcome::Taken(taken)) = verdict {
                         step(shared, |node, now, out| node.news(now, taken.news, out));
                     }
                     self.adopt(shared, lists);
@@ -239,7 +240,7 @@
             }
         }
         if let (Some((_, operations)), Some(text)) = (&self.setup.script, kept.text(Role::Script))
-            && shared.node.borrow_mut().rescript(text, *operations)
+            && shared.node.borrow_mut().replace_script(text, *operations)
         {
             self.script = Some(text.to_owned());
         }
@@ -247,9 +248,9 @@
     }
 
     /// The files are what they were at the last stop.
-    fn unchanged(&self, shared: &Handle, kept: &Kept) {
+    fn unchanged(&self, shared: &Handle, kept: &SavedLists) {
         let roster = shared.roster.borrow();
-        log_taken(&Taken {
+        log_taken(&GenerationChange {
             generation: kept.generation,
             source: Source::Watched,
             servers: roster.current().servers.len(),
@@ -257,7 +258,7 @@
             changed: 0,
             removed: 0,
             digest: roster.current().digest,
-            news: News { kind: ListKind::Changes, servers: Vec::new() },
+            news: ListUpdate { kind: ListKind::Changes, servers: Vec::new() },
         });
     }
 
@@ -286,7 +287,7 @@
 }
 
 /// Reads the watched files for the first time and starts to watch them.
-pub(super) fn start(shared: &Handle, config: &Config, setup: Setup) -> Rc<RefCell<Files>> {
+pub(super) fn start(shared: &Handle, config: &Config, setup: WatchConfig) -> Rc<RefCell<Files>> {
     let (to, from) = mpsc::channel();
     let bounds = config.bounds.clone();
     let mut files = Files {
@@ -367,7 +368,7 @@
         future::or(shared.listed.heard(), wait).await;
         let now = shared.now();
         let due = shared.roster.borrow_mut().tick(now);
-        if let (Some(Verdict::Taken(taken)), Some(files)) = (due, &files) {
+        if let (Some(OfferOutcome::Taken(taken)), Some(files)) = (due, &files) {
             let waiting = files.borrow_mut().waiting.take();
             match waiting {
                 Some(lists) => files.borrow_mut().taken(&shared, taken, lists),
@@ -402,7 +403,7 @@
 }
 
 /// Does what is due.
-fn work(watch: &mut Watch, clock: &Clock, told: &mut Vec<Told>) {
+fn work(watch: &mut Watch, clock: &Clock, told: &mut Vec<WatchEvent>) {
     while let Some(act) = watch.due(clock.read(unix()), told) {
         match act {
             Act::Look(set) => {
@@ -425,7 +426,7 @@
     mut eyes: Eyes,
     from: &mpsc::Receiver<Word>,
     mut state: Option<(Store, Folder)>,
-    tell: &async_channel::Sender<Told>,
+    tell: &async_channel::Sender<WatchEvent>,
 ) {
     loop {
         let wait = micros(watch.next_due() - clock.read(unix()));
@@ -473,7 +474,7 @@
 }
 
 impl Eyes {
-    fn new(setup: &Setup, to: mpsc::Sender<Word>) -> Eyes {
+    fn new(setup: &WatchConfig, to: mpsc::Sender<Word>) -> Eyes {
         let all = setup.lists.iter().chain(setup.script.iter().map(|(file, _)| file));
         let files = all.map(|f| (f.role, f.path.clone())).collect();
         let watcher = setup.notify.then(|| {
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -15,8 +15,8 @@
 
 use super::outbox::{Bell, Outbox};
 use super::{Handle, micros, step};
-use crate::operate::handover::giver::{self, Giver, Suitor};
-use crate::operate::handover::heir::{self, Heir};
+use crate::operate::handover::giver::{self, Predecessor, TakeoverConn};
+use crate::operate::handover::heir::{self, Successor};
 use crate::operate::handover::{Message, encode};
 use gate::Gate;
 pub(super) use meeting::place;
@@ -32,12 +32,12 @@
     path: PathBuf,
     /// When this process started, by the machine's clock that is never set.
     started: u64,
-    giver: RefCell<Giver>,
-    heir: RefCell<Option<Heir>>,
+    giver: RefCell<Predecessor>,
+    heir: RefCell<Option<Successor>>,
     /// The connection to the process before.
     old: RefCell<Option<Rc<Outbox>>>,
     /// Those of processes that ask.
-    suitors: RefCell<BTreeMap<Suitor, Rc<Outbox>>>,
+    suitors: RefCell<BTreeMap<TakeoverConn, Rc<Outbox>>>,
     next: Cell<u64>,
     /// The file that this process took its place at the meeting point with.
     own_place: Cell<Option<FileId>>,
@@ -53,12 +53,12 @@
 impl Handover {
     /// Whether another process serves in this one's place.
     pub(super) fn yielded(&self) -> bool {
-        self.giver.borrow().gave_way()
+        self.giver.borrow().has_yielded()
     }
 
     /// What the node has for the other process.
     pub(super) fn told(self: &Rc<Self>, shared: &Handle, messages: Vec<Message>) {
-        let heir = self.giver.borrow().heir();
+        let heir = self.giver.borrow().successor();
         let suitor = heir.and_then(|heir| self.suitors.borrow().get(&heir).cloned());
         for message in messages {
             match (&suitor, message) {
@@ -72,52 +72,58 @@
         }
     }
 
-    fn give(self: &Rc<Self>, shared: &Handle, acts: Vec<giver::Act>) {
+    fn give(self: &Rc<Self>, shared: &Handle, acts: Vec<giver::Action>) {
         for act in acts {
             match act {
-                giver::Act::Yield => {
+                giver::Action::Yield => {
                     info!(event = "yields");
                     self.gate.set(false);
-                    step(shared, |node, now, out| node.yields(now, out));
+                    step(shared, |node, now, out| node.yield_to_successor(now, out));
                     shared.executor.spawn(leave(shared.clone(), self.clone())).detach();
                 }
-                giver::Act::Resume => {
+                giver::Action::Resume => {
                     warn!(event = "serves again", reason = "the new process is gone");
-                    step(shared, |node, now, out| node.resumes(now, out));
+                    step(shared, |node, now, out| node.resume_serving(now, out));
                     self.gate.set(true);
                     listen(shared, self);
                 }
-                giver::Act::Say(to, message) => {
+                giver::Action::Say(to, message) => {
                     if let Some(outbox) = self.suitors.borrow().get(&to) {
                         outbox.push(encode(&message), None);
                     }
                 }
-                giver::Act::Left(id) => step(shared, |node, now, out| node.ends(now, id, out)),
-                giver::Act::Look => shared.executor.spawn(look(shared.clone(), self.clone())).detach(),
-                giver::Act::Leave => self.left.ring(),
+                giver::Action::Left(id) => {
+                    step(shared, |node, now, out| node.client_left_at_peer(now, id, out))
+                }
+                giver::Action::Look => shared.executor.spawn(look(shared.clone(), self.clone())).detach(),
+                giver::Action::Leave => self.left.ring(),
             }
         }
     }
 
-    fn inherit(self: &Rc<Self>, shared: &Handle, acts: Vec<heir::Act>) {
+    fn inherit(self: &Rc<Self>, shared: &Handle, acts: Vec<heir::Action>) {
         for act in acts {
             match act {
-                heir::Act::Serve => {
-                    step(shared, |node, _, _| node.serves());
+                heir::Action::Serve => {
+                    step(shared, |node, _, _| node.start_serving());
                     self.gate.set(true);
                     info!(event = "serves");
                 }
-                heir::Act::Meet => listen(shared, self),
-                heir::Act::Leave => self.left.ring(),
-                heir::Act::AskAgain => self.again.ring(),
-                heir::Act::TakeTurns => step(shared, |node, now, out| node.takes_turns(now, out)),
-                heir::Act::Take(passed) => step(shared, |node, now, out| node.takes(now, &passed, out)),
-                heir::Act::TakeEnded(passed) => step(shared, |node, now, out| {
-                    node.takes(now, &passed, out);
-                    node.ends(now, passed.id, out);
+                heir::Action::Meet => listen(shared, self),
+                heir::Action::Leave => self.left.ring(),
+                heir::Action::AskAgain => self.again.ring(),
+                heir::Action::TakeTurns => step(shared, |node, now, out| node.take_warm_up_turns(now, out)),
+                heir::Action::Take(passed) => {
+                    step(shared, |node, now, out| node.adopt_session(now, &passed, out))
+                }
+                heir::Action::TakeEnded(passed) => step(shared, |node, now, out| {
+                    node.adopt_session(now, &passed, out);
+                    node.client_left_at_peer(now, passed.id, out);
                 }),
-                heir::Act::Told(message) => step(shared, |node, now, out| node.hears_of(now, &message, out)),
-                heir::Act::Say(message) => {
+                heir::Action::Told(message) => {
+                    step(shared, |node, now, out| node.handle_forwarded(now, &message, out))
+                }
+                heir::Action::Say(message) => {
                     if let Some(old) = &*self.old.borrow() {
                         old.push(encode(&message), None);
                     }
@@ -126,7 +132,7 @@
         }
     }
 
-    fn as_heir(self: &Rc<Self>, shared: &Handle, act: impl FnOnce(&mut Heir, &mut Vec<heir::Act>)) {
+    fn as_heir(self: &Rc<Self>, shared: &Handle, act: impl FnOnce(&mut Successor, &mut Vec<heir::Action>)) {
         let mut acts = Vec::new();
         if let Some(heir) = &mut *self.heir.borrow_mut() {
             act(heir, &mut acts);
@@ -134,7 +140,11 @@
         self.inherit(shared, acts);
     }
 
-    fn as_giver(self: &Rc<Self>, shared: &Handle, act: impl FnOnce(&mut Giver, &mut Vec<giver::Act>)) {
+    fn as_giver(
+        self: &Rc<Self>,
+        shared: &Handle,
+        act: impl FnOnce(&mut Predecessor, &mut Vec<giver::Action>),
+    ) {
         let mut acts = Vec::new();
         act(&mut self.giver.borrow_mut(), &mut acts);
         self.give(shared, acts);
@@ -147,7 +157,7 @@
         let unwritten = shared.boxes.borrow().values().any(|outbox| !outbox.empty());
         // What the process before passes comes by here; it would take this one's end for its heir's death.
         let passes_by = handover.old.borrow().is_some();
-        let anything = unwritten || passes_by || shared.node.borrow().waited_on();
+        let anything = unwritten || passes_by || shared.node.borrow().has_waiting_clients();
         handover.as_giver(&shared, |giver, out| giver.holds(anything, out));
         Timer::after(LOOK).await;
     }
@@ -165,11 +175,11 @@
 /// Starts: asks the process before this one, if there is one.
 pub(super) async fn start(shared: Handle, handover: Rc<Handover>) {
     let most_sessions = step(&shared, |node, _, _| {
-        node.starts();
+        node.await_predecessor();
         node.most_sessions()
     });
-    let heir = Heir::new(shared.now(), handover.started, most_sessions);
-    let until = heir.patience();
+    let heir = Successor::new(shared.now(), handover.started, most_sessions);
+    let until = heir.deadline();
     *handover.heir.borrow_mut() = Some(heir);
     let patience = async {
         Timer::after(micros(until - shared.now())).await;
@@ -181,7 +191,7 @@
         loop {
             let stream = match reach(&handover.path).await {
                 Ok(Some(stream)) => stream,
-                Ok(None) => return handover.as_heir(&shared, Heir::alone),
+                Ok(None) => return handover.as_heir(&shared, Successor::alone),
                 Err(_) => {
                     Timer::after(AGAIN).await;
                     continue;
@@ -189,12 +199,12 @@
             };
             let outbox = Rc::new(Outbox::new(&shared.queues.servers));
             *handover.old.borrow_mut() = Some(outbox.clone());
-            handover.as_heir(&shared, Heir::linked);
+            handover.as_heir(&shared, Successor::linked);
             let talk = async {
                 let hear = |message| handover.as_heir(&shared, |heir, out| heir.heard(message, out));
                 let reason = converse(&stream, &outbox, hear).await;
                 info!(event = "end", peer = "old process", reason);
-                handover.as_heir(&shared, Heir::ended);
+                handover.as_heir(&shared, Successor::ended);
                 false
             };
             let told = async {
@@ -220,7 +230,7 @@
         Rc::new(Handover {
             path,
             started,
-            giver: RefCell::new(Giver::new(started)),
+            giver: RefCell::new(Predecessor::new(started)),
             heir: RefCell::default(),
             old: RefCell::default(),
             suitors: RefCell::default(),
--- a/src/net/presence.rs
+++ b/src/net/presence.rs
@@ -13,12 +13,12 @@
 use super::reading::read_now;
 use super::{Handle, board, step};
 use crate::api::SessionId;
-use crate::platform::links::{Closed, ConnId};
+use crate::platform::links::{ConnId, ConnectionEnd};
 
 /// What came on a connection is told, and keeps one that was to be let go.
 pub(super) fn hear(shared: &Handle, conn: ConnId, outbox: &Outbox, bytes: &[u8]) {
     if outbox.stay() {
-        step(shared, |node, now, _| node.stays(now, conn));
+        step(shared, |node, now, _| node.keep_open(now, conn));
     }
     step(shared, |node, now, out| node.bytes(now, conn, bytes, out));
 }
@@ -54,9 +54,9 @@
 }
 
 /// How a connection ended, by the code of the reason and by what was still to be written.
-pub(super) fn ended_with(outbox: &Outbox, reason: &str) -> Closed {
+pub(super) fn ended_with(outbox: &Outbox, reason: &str) -> ConnectionEnd {
     let reset = matches!(reason, "reset" | "broken-pipe");
-    Closed::Ended { unsent: outbox.unsent(), unfinished: outbox.unfinished(), reset }
+    ConnectionEnd::Ended { unsent: outbox.unsent(), unfinished: outbox.unfinished(), reset }
 }
 
 /// Hears a client out: what it said, and whether it has gone.
@@ -73,10 +73,10 @@
 
 /// The last look at a set-up before it leaves on a server's connection. What may not leave is taken back.
 pub(super) fn look(shared: &Handle, conn: ConnId, id: SessionId) {
-    let askers = shared.node.borrow().askers(id);
+    let askers = shared.node.borrow().requesting_connections(id);
     for asker in askers {
         hear_client(shared, asker);
     }
     board::hear_out(shared);
-    step(shared, |node, now, out| node.may_leave(now, conn, id, out));
+    step(shared, |node, now, out| node.may_send_set_up(now, conn, id, out));
 }
--- a/src/net/quorum.rs
+++ b/src/net/quorum.rs
@@ -32,13 +32,13 @@
 use crate::quorum::book::Change;
 use crate::quorum::founding::Barred;
 use crate::quorum::frame::{self, Counts, Frame, Reader};
-use crate::quorum::fronts::Fronts;
+use crate::quorum::fronts::FleetPosition;
 use crate::quorum::journal::{self, Unusable};
 use crate::quorum::machine::Event;
 use crate::quorum::queue::Queue;
 use crate::quorum::record::{self, Done, Job};
-use crate::quorum::{Boot, Incarnation, Input, Machine, Out, Setup, VoterId};
-use crate::rules::standing::{Standing, Sure};
+use crate::quorum::{BootTime, Incarnation, Input, Machine, Out, QuorumConfig, VoterId};
+use crate::rules::standing::{LocalRules, RulesFreshness};
 
 /// A link that doesn't come up within this has failed.
 const CONNECT: Duration = Duration::from_secs(1);
@@ -48,11 +48,11 @@
 const MOST_CONNECTIONS: usize = 4_096;
 
 /// The clock that runs while the machine sleeps too.
-pub fn boot_now() -> Boot {
+pub fn boot_now() -> BootTime {
     let now = real_now();
     // A trial may have this process's clock run too fast or too slow.
-    let rate = faults::figure("clock-rate").unwrap_or(1.0);
-    Boot(if rate == 1.0 { now } else { (now as f64 * rate) as u64 })
+    let rate = faults::injected_value("clock-rate").unwrap_or(1.0);
+    BootTime(if rate == 1.0 { now } else { (now as f64 * rate) as u64 })
 }
 
 /// One link: what waits on it, and the bells that wake its writer and end it.
@@ -109,9 +109,9 @@
     sent: Cell<(u64, u64)>,
     syncs: Cell<u64>,
     /// Tells the module how many fronts there are.
-    fronts: Box<dyn Fn(Fronts)>,
+    fronts: Box<dyn Fn(FleetPosition)>,
     /// Tells the node what it acts on.
-    rules: Box<dyn Fn(Standing)>,
+    rules: Box<dyn Fn(LocalRules)>,
 }
 
 fn tell(event: &Event) {
@@ -132,17 +132,17 @@
         }
         Event::Acts(duty, epoch, look) => {
             // The look that allowed it, on the clock as the system has it.
-            let at = (look.0 as f64 / faults::figure("clock-rate").unwrap_or(1.0)) as u64;
+            let at = (look.0 as f64 / faults::injected_value("clock-rate").unwrap_or(1.0)) as u64;
             info!(event = "duty.acts", duty = duty.0.as_str(), epoch = epoch.0, at);
         }
         Event::Changed(index, change) => changed(*index, change),
         Event::Refused(who, why) => warn!(event = "quorum.refused", who = who.as_str(), reason = %why),
         Event::Sure(sure) => {
             let (state, version, next) = match sure {
-                Sure::None => ("none", 0, 0),
-                Sure::Fresh(version) => ("fresh", *version, 0),
-                Sure::Between(version, next) => ("between", *version, *next),
-                Sure::Unsure(version) => ("unsure", *version, 0),
+                RulesFreshness::None => ("none", 0, 0),
+                RulesFreshness::Fresh(version) => ("fresh", *version, 0),
+                RulesFreshness::Between(version, next) => ("between", *version, *next),
+                RulesFreshness::Unsure(version) => ("unsure", *version, 0),
             };
             info!(event = "rules.sure", state, version, next, at = real_now());
         }
@@ -200,10 +200,10 @@
 /// Begins this process's part.
 pub fn start(
     executor: &Rc<LocalExecutor<'static>>,
-    setup: &Setup,
+    setup: &QuorumConfig,
     incarnation: Incarnation,
-    fronts: Box<dyn Fn(Fronts)>,
-    rules: Box<dyn Fn(Standing)>,
+    fronts: Box<dyn Fn(FleetPosition)>,
+    rules: Box<dyn Fn(LocalRules)>,
 ) -> io::Result<Rc<Quorum>> {
     #[cfg(feature = "trials")]
     mutant::choose(mutant::of_environment());
@@ -292,7 +292,7 @@
 
     /// What the broker counts.
     pub fn count(self: &Rc<Self>, counts: Counts) {
-        if faults::there("tell-counts") {
+        if faults::injected("tell-counts") {
             self.tell_counts();
         }
         self.step(Input::Counts(counts));
@@ -321,7 +321,7 @@
                         let _ = record.try_send(job);
                     }
                 }
-                Out::Fronts(fronts) => {
+                Out::FleetPosition(fronts) => {
                     info!(event = "quorum.fronts", count = fronts.count, place = fronts.place);
                     (self.fronts)(fronts);
                 }
@@ -470,9 +470,9 @@
     quorum.next_conn.set(conn + 1);
     quorum.conns.borrow_mut().insert(conn, link.clone());
     quorum.step(Input::Accepted(conn));
-    let heard = |frame: Result<Frame, frame::NoFrame>| match frame {
+    let heard = |frame: Result<Frame, frame::FrameError>| match frame {
         Ok(frame) => quorum.step(Input::Called(conn, frame)),
-        Err(why) => quorum.step(Input::NoFrame(conn, why)),
+        Err(why) => quorum.step(Input::FrameError(conn, why)),
     };
     let reason = drive(&stream, &link, &quorum.sent, heard).await;
     quorum.conns.borrow_mut().remove(&conn);
@@ -490,7 +490,7 @@
             quorum.links.borrow_mut().insert(voter, link.clone());
             quorum.step(Input::Up(voter));
             let mut welcomed = false;
-            let heard = |frame: Result<Frame, frame::NoFrame>| match frame {
+            let heard = |frame: Result<Frame, frame::FrameError>| match frame {
                 Ok(frame) => {
                     welcomed |= matches!(frame, Frame::Welcome(..));
                     quorum.step(Input::Answer(voter, frame));
@@ -514,7 +514,7 @@
     stream: &Async<TcpStream>,
     link: &Link,
     sent: &Cell<(u64, u64)>,
-    mut heard: impl FnMut(Result<Frame, frame::NoFrame>),
+    mut heard: impl FnMut(Result<Frame, frame::FrameError>),
 ) -> &'static str {
     let read = async {
         let (mut reader, mut buffer) = (Reader::default(), vec![0; TURN]);
--- a/src/net/run.rs
+++ b/src/net/run.rs
@@ -24,12 +24,12 @@
 use crate::board::Board;
 use crate::config::Config;
 use crate::eureka::Eureka;
-use crate::node::Front;
+use crate::node::Protocol;
 use crate::quorum::Incarnation;
-use crate::quorum::fronts::Fronts;
+use crate::quorum::fronts::FleetPosition;
 use crate::records::Findings;
-use crate::roster::{News, Source};
-use crate::rules::standing::Standing;
+use crate::roster::{ListUpdate, Source};
+use crate::rules::standing::LocalRules;
 
 /// Time between counts that the quorum is told.
 const COUNTED: Duration = Duration::from_millis(250);
@@ -70,7 +70,11 @@
 }
 
 /// Begins to hear of servers from all sources that the configuration names.
-fn hear_of_servers(shared: &Handle, config: &Config, known: Vec<News>) -> Option<Rc<RefCell<files::Files>>> {
+fn hear_of_servers(
+    shared: &Handle,
+    config: &Config,
+    known: Vec<ListUpdate>,
+) -> Option<Rc<RefCell<files::Files>>> {
     let watched = config.watch.clone().map(|setup| files::start(shared, config, setup));
     if config.board.is_some() || config.eureka.is_some() || watched.is_some() {
         step(shared, |node, now, _| node.awaits_list(now));
@@ -90,10 +94,10 @@
 fn open_doors(shared: &Handle, config: &Config, handover: Option<&Rc<Handover>>) -> io::Result<Doors> {
     let mut doors = Doors::default();
     let whip = config.whip.as_ref().map(|w| w.listen);
-    for (address, front) in [(config.listen, Front::Platform), (whip, Front::Whip)] {
+    for (address, front) in [(config.listen, Protocol::Platform), (whip, Protocol::Whip)] {
         let Some(address) = address else { continue };
-        let field = if front == Front::Whip { "whip.listen" } else { "listen" };
-        let inherited = config.inherited.filter(|_| front == Front::Platform);
+        let field = if front == Protocol::Whip { "whip.listen" } else { "listen" };
+        let inherited = config.inherited.filter(|_| front == Protocol::Platform);
         let listener = match inherited {
             Some(number) => Async::new(inherit::listener(number)?)?,
             None => bind(field, address)?,
@@ -123,11 +127,11 @@
     let Some(setup) = &config.quorum else { return Ok(None) };
     let incarnation = Incarnation(unix().0);
     let told = shared.clone();
-    let paced = move |fronts: Fronts| {
-        step(&told, |node, now, out| node.fronts(now, fronts.count, fronts.place, out));
+    let paced = move |fronts: FleetPosition| {
+        step(&told, |node, now, out| node.set_fleet_position(now, fronts.count, fronts.place, out));
     };
     let told = shared.clone();
-    let ruled = move |standing: Standing| {
+    let ruled = move |standing: LocalRules| {
         step(&told, |node, now, out| node.ruled(now, standing, out));
     };
     let quorum = quorum::start(&shared.executor, setup, incarnation, Box::new(paced), Box::new(ruled))?;
--- a/src/node/connections.rs
+++ b/src/node/connections.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeSet;
 
 use super::viewer_conn::ViewerConn;
-use super::{Front, Node};
+use super::{Node, Protocol};
 use crate::api::*;
 use crate::broker::Input;
-use crate::platform::links::{Broken, Closed, Command, ConnId, Server};
+use crate::platform::links::{Command, ConnId, ConnectionEnd, LostConnection, ServerStatus};
 
 impl Node {
     /// A number for a connection.
@@ -15,8 +15,8 @@
     }
 
     /// A client's connection was accepted.
-    pub fn accepted(&mut self, now: Micros, conn: ConnId, front: Front) {
-        if front == Front::Whip {
+    pub fn accepted(&mut self, now: Micros, conn: ConnId, front: Protocol) {
+        if front == Protocol::Whip {
             if let Some(whip) = &mut self.whip {
                 whip.accepted(now, conn);
             }
@@ -82,7 +82,7 @@
                 if let Some(c) = self.viewers.get_mut(&conn) {
                     c.closing = true;
                 }
-                out.push(Command::LetGo(conn, "no-room"));
+                out.push(Command::CloseIfQuiet(conn, "no-room"));
             }
             (_, Some((_, conn))) => {
                 self.whip(now, out, |whip, _, wishes| whip.let_go(conn, wishes));
@@ -99,16 +99,16 @@
     }
 
     /// A connection has ended.
-    pub fn closed(&mut self, now: Micros, conn: ConnId, how: &Closed, out: &mut Vec<Command>) {
+    pub fn closed(&mut self, now: Micros, conn: ConnId, how: &ConnectionEnd, out: &mut Vec<Command>) {
         let unfinished = match how {
-            Closed::Ended { unfinished, .. } => unfinished.as_slice(),
-            Closed::Refused | Closed::NoAnswer | Closed::Unopened => &[],
+            ConnectionEnd::Ended { unfinished, .. } => unfinished.as_slice(),
+            ConnectionEnd::Refused | ConnectionEnd::NoAnswer | ConnectionEnd::Unopened => &[],
         };
         if let Some(c) = self.viewers.remove(&conn) {
             self.homes.retain(|_, home| *home != conn);
             // Nobody waits there any more, and an answer that was not written whole was heard by nobody.
             for id in c.open.iter().chain(unfinished) {
-                self.tell(now, Input::Left(*id), out);
+                self.tell(now, Input::ClientLeft(*id), out);
             }
             return;
         }
@@ -121,7 +121,9 @@
             self.pool.closed(now, conn, how, &mut told, out);
             return self.told(now, told, out);
         }
-        let Some(Broken { server, over, withdrawn, server_is }) = self.links.closed(now, conn, how) else {
+        let Some(LostConnection { server, over, withdrawn, server_status }) =
+            self.links.closed(now, conn, how)
+        else {
             return;
         };
         for id in withdrawn {
@@ -129,17 +131,17 @@
         }
         for (id, status) in over {
             let load = Load::default();
-            self.tell(now, Input::Over { id, server: server.clone(), status, load }, out);
+            self.tell(now, Input::Ended { id, server: server.clone(), status, load }, out);
         }
-        if !self.broker.stands_any(&server) {
+        if !self.broker.has_established_at(&server) {
             return;
         }
         let drains = self.servers.get(&server).is_some_and(|(state, _)| *state == ServerState::Draining);
-        match server_is {
-            Server::Up => {}
-            Server::Unsure => self.check(now, &server, out),
-            Server::TurnsDown if drains => {}
-            Server::TurnsDown | Server::Lost => self.tell(now, Input::Lost(server), out),
+        match server_status {
+            ServerStatus::Up => {}
+            ServerStatus::Unsure => self.check(now, &server, out),
+            ServerStatus::TurnsDown if drains => {}
+            ServerStatus::TurnsDown | ServerStatus::Lost => self.tell(now, Input::ServerLost(server), out),
         }
     }
 }
--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -4,7 +4,7 @@
 use super::{Node, named};
 use crate::api::*;
 use crate::broker::{Description, Effect, Input};
-use crate::hook::{HookError, Verdict};
+use crate::hook::{Decision, HookError};
 use crate::operate::figures::Outcome;
 use crate::platform::links::Command;
 use crate::platform::viewer;
@@ -36,10 +36,10 @@
                 (named(&self.names.classes, request.class), named(&self.names.tenants, request.tenant));
             let verdict = hook.on_request(&request, class, tenant);
             match self.unhook(verdict) {
-                Some(Verdict::Refuse(wait)) => {
+                Some(Decision::Refuse(wait)) => {
                     return self.carry_out(now, Effect::Refused(request.id, wait), out);
                 }
-                Some(Verdict::Pass(top)) => request.top = top,
+                Some(Decision::Pass(top)) => request.top = top,
                 None => {}
             }
         }
@@ -61,7 +61,7 @@
     pub(super) fn observed(&mut self, effect: &Effect) {
         let Some(hook) = &mut self.hook else { return };
         let (id, outcome) = match effect {
-            Effect::Plays(id, _) => (*id, "plays"),
+            Effect::Established(id, _) => (*id, "plays"),
             Effect::Refused(id, _) => (*id, "refused"),
             Effect::Failed(id, _) => (*id, "failed"),
             Effect::Ended(id, _) => (*id, "ended"),
@@ -73,7 +73,7 @@
     }
 
     pub(super) fn tell(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
-        if let Input::Left(id) = &input {
+        if let Input::ClientLeft(id) = &input {
             self.figures.left(*id);
         }
         if let Some(tracer) = &mut self.tracer {
@@ -101,7 +101,7 @@
             _ => {}
         }
         match effect {
-            Effect::Plays(id, answer) if self.owned_by_whip(id) => {
+            Effect::Established(id, answer) if self.owned_by_whip(id) => {
                 self.figures.answered(id, Outcome::Fulfilled);
                 let ice = self.pool.ice(id).to_vec();
                 self.whip(now, out, |whip, _, wishes| whip.plays(now, id, answer, ice, wishes));
@@ -122,8 +122,8 @@
                 self.whip(now, out, |whip, _, wishes| whip.over(now, id, true, wishes));
             }
             Effect::SetUp(set_up) => self.send(now, &set_up, out),
-            Effect::GiveUp(id, server) => self.give_up(now, id, server, out),
-            Effect::Cut(id, _) if self.pool.holds(id) => self.pool.release(now, id, out),
+            Effect::Withdraw(id, server) => self.give_up(now, id, server, out),
+            Effect::Release(id, _) if self.pool.holds(id) => self.pool.release(now, id, out),
             Effect::Rate(id, server, rung) => {
                 if self.pool.holds(id) {
                     self.pool.rate(now, id, rung, out);
@@ -134,8 +134,8 @@
                     self.whip(now, out, |whip, _, wishes| whip.rated(id, rung, wishes));
                 }
             }
-            Effect::Cut(id, server) => self.links.release(now, id, &server, out),
-            Effect::Plays(id, description) => {
+            Effect::Release(id, server) => self.links.release(now, id, &server, out),
+            Effect::Established(id, description) => {
                 let home = self.answered(now, id);
                 let line = std::str::from_utf8(&description).ok().map(|text| viewer::answer(id, text));
                 match line.filter(|line| line.encode().is_ok()) {
@@ -151,7 +151,7 @@
                         // What can't be passed on unchanged is not passed on.
                         self.reply(now, home, id, &Reply::Over(viewer::failed(id)), out);
                         self.forget(id);
-                        self.tell(now, Input::Left(id), out);
+                        self.tell(now, Input::ClientLeft(id), out);
                     }
                 }
             }
--- a/src/node/leaving.rs
+++ b/src/node/leaving.rs
@@ -14,7 +14,7 @@
 
 impl Node {
     /// The connections of those that a request is asked on. They are heard out before an attempt of it leaves.
-    pub fn askers(&self, id: SessionId) -> Vec<ConnId> {
+    pub fn requesting_connections(&self, id: SessionId) -> Vec<ConnId> {
         match self.homes.get(&id) {
             Some(home) => vec![*home],
             None => self.whip.iter().flat_map(|whip| whip.waiters(id)).collect(),
@@ -23,7 +23,13 @@
 
     /// Whether a set-up may leave now on a server's connection. One that may not is taken back, and its attempt has
     /// ended without having run.
-    pub fn may_leave(&mut self, now: Micros, conn: ConnId, id: SessionId, out: &mut Vec<Command>) -> bool {
+    pub fn may_send_set_up(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        id: SessionId,
+        out: &mut Vec<Command>,
+    ) -> bool {
         // What is due by the clock comes first: an attempt whose time is over, a request whose client is gone.
         self.tell(now, Input::Tick, out);
         // A paid set-up that is out runs to its end though its client has gone; one that is not out never begins.
@@ -34,18 +40,18 @@
         let most = self.timings.connect + STALE;
         let fresh =
             |server: &ServerId| self.broker.sent_at(id, server).is_some_and(|sent| now - sent <= most);
-        if carried.as_ref().is_some_and(|server| fresh(server) && self.broker.takes_new(server)) {
+        if carried.as_ref().is_some_and(|server| fresh(server) && self.broker.accepts_new(server)) {
             return true;
         }
         if self.pool.has(conn) {
             // The exchange is the only one on its connection, and ends with it unsent.
-            out.push(Command::Cut(conn, "withdrawn"));
+            out.push(Command::Abort(conn, "withdrawn"));
             return false;
         }
         self.links.withdraw(conn, id, out);
         let Some(server) = carried else { return false };
         let (status, load) = (Status::Moot, Load::default());
-        self.tell(now, Input::Over { id, server, status, load }, out);
+        self.tell(now, Input::Ended { id, server, status, load }, out);
         false
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -21,11 +21,11 @@
 use crate::config::Config;
 use crate::edge::Pool;
 use crate::hook::Hook;
-use crate::operate::{figures::Figures, handover::Message, phase::Phase};
+use crate::operate::{figures::Metrics, handover::Message, phase::Phase};
 use crate::platform::links::{Command, ConnId, Links};
 use crate::platform::timings::Timings;
 use crate::quorum::frame::Counts;
-use crate::roster::Names;
+use crate::roster::SettingNames;
 use crate::trace::{Event as Traced, Tracer};
 use crate::whip::{self, Title};
 pub use ending::{HeldRequest, Remaining};
@@ -41,19 +41,19 @@
 
 /// What a connection that was accepted speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Front {
+pub enum Protocol {
     /// The platform's JSON lines.
     Platform,
     /// WHIP and WHEP over HTTP.
     Whip,
 }
 
-impl Front {
+impl Protocol {
     /// Its name in the log.
     pub fn name(self) -> &'static str {
         match self {
-            Front::Platform => "viewer",
-            Front::Whip => "http",
+            Protocol::Platform => "viewer",
+            Protocol::Whip => "http",
         }
     }
 }
@@ -61,13 +61,13 @@
 /// One broker without its sockets.
 pub struct Node {
     broker: Broker,
-    names: Names,
+    names: SettingNames,
     settings: Settings,
     links: Links,
     /// Servers that speak WHIP or WHEP.
     pool: Pool,
     viewers: BTreeMap<ConnId, ViewerConn>,
-    whip: Option<whip::Front>,
+    whip: Option<whip::WhipFront>,
     hook: Option<Hook>,
     /// The connection that a session was set up on.
     homes: BTreeMap<SessionId, ConnId>,
@@ -80,7 +80,7 @@
     /// Whether it serves, drains or ends, and when clients' connections are looked at for that.
     phase: Phase,
     let_go_at: Micros,
-    figures: Figures,
+    figures: Metrics,
     /// Sessions that were passed to another process, and their servers; and what it is to hear.
     passed: BTreeMap<SessionId, ServerId>,
     messages: Vec<Message>,
@@ -116,7 +116,11 @@
             pool: Pool::default(),
             viewers: BTreeMap::new(),
             whip: config.whip.as_ref().map(|w| {
-                whip::Front::new(w.setup.clone(), config.settings.classes.clone(), config.seed ^ WHIP_SEED)
+                whip::WhipFront::new(
+                    w.setup.clone(),
+                    config.settings.classes.clone(),
+                    config.seed ^ WHIP_SEED,
+                )
             }),
             hook: config.hook.as_ref().and_then(|(text, operations)| Hook::new(text, *operations).ok()),
             homes: BTreeMap::new(),
@@ -126,7 +130,7 @@
             look_at: Micros(0),
             phase: Phase::default(),
             let_go_at: Micros::MAX,
-            figures: Figures::default(),
+            figures: Metrics::default(),
             passed: BTreeMap::new(),
             messages: Vec::new(),
             renamed_at: Micros(0),
@@ -151,18 +155,18 @@
 
     /// Requests that are owed an answer, and sessions that stand.
     pub fn held(&self) -> (usize, usize) {
-        (self.broker.unanswered(), self.broker.standing())
+        (self.broker.unanswered(), self.broker.established())
     }
 
     /// What the fleet's record tells of this broker.
     pub fn counts(&self) -> Counts {
-        let sessions = self.broker.standing() as u64;
+        let sessions = self.broker.established() as u64;
         Counts { sessions, refusals: self.refusals, attempts: self.attempts }
     }
 
     /// How many fronts share the fleet, and which of them this one is.
-    pub fn fronts(&mut self, now: Micros, count: u32, place: u32, out: &mut Vec<Command>) {
-        self.tell(now, Input::Fronts(count, place), out);
+    pub fn set_fleet_position(&mut self, now: Micros, count: u32, place: u32, out: &mut Vec<Command>) {
+        self.tell(now, Input::FleetPosition(count, place), out);
     }
 
     /// Time limits that follow from the settings in use.
@@ -171,14 +175,14 @@
     }
 
     /// Takes new titles in; sessions of titles that are no longer there play on.
-    pub fn retitle(&mut self, titles: BTreeMap<String, Title>) {
+    pub fn replace_titles(&mut self, titles: BTreeMap<String, Title>) {
         if let Some(whip) = &mut self.whip {
-            whip.retitle(titles);
+            whip.replace_titles(titles);
         }
     }
 
     /// Takes a new script in. False if it can't be used: the old one stays.
-    pub fn rescript(&mut self, text: &str, operations: u64) -> bool {
+    pub fn replace_script(&mut self, text: &str, operations: u64) -> bool {
         let hook = Hook::new(text, operations).ok();
         let good = hook.is_some();
         self.hook = hook.or(self.hook.take());
@@ -187,19 +191,19 @@
 
     /// Whether anything is set up, or waits for it, at a server.
     pub fn busy(&self, server: &ServerId) -> bool {
-        self.broker.stands_any(server)
+        self.broker.has_established_at(server)
     }
 
     /// Servers, sessions, attempts and clients' connections that anything is remembered of, at its fullest place.
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_entries(&self) -> usize {
         let own = [self.servers.len(), self.homes.len(), self.owed.len(), self.viewers.len()];
-        let own = own.into_iter().chain([self.figures.remembered()]);
-        let told = self.tracer.as_ref().map_or(0, Tracer::remembered);
+        let own = own.into_iter().chain([self.figures.tracked_entries()]);
+        let told = self.tracer.as_ref().map_or(0, Tracer::tracked_entries);
         let others = [
-            self.links.remembered(),
+            self.links.tracked_entries(),
             self.links.len(),
-            self.pool.remembered(),
-            self.broker.remembered(),
+            self.pool.tracked_entries(),
+            self.broker.tracked_entries(),
             told,
         ];
         own.chain(others).max().unwrap_or(0)
--- a/src/node/operate.rs
+++ b/src/node/operate.rs
@@ -20,7 +20,7 @@
                 None => Answer::Success("ready"),
                 Some(why) => Answer::Failure(why.word().to_owned()),
             },
-            Ok(Call::Vars) => Answer::Figures(self.read_figures(now)),
+            Ok(Call::Vars) => Answer::Metrics(self.read_figures(now)),
             Ok(Call::DrainOn) => {
                 let new = self.phase.drain(now);
                 self.let_go_at = self.phase.lets_go_from().unwrap_or(Micros::MAX);
@@ -53,7 +53,7 @@
             playing_sessions: remaining.playing,
             client_connections: remaining.clients,
             registry_entries: self.servers.len(),
-            out_of_rotation: self.broker.avoided(now),
+            out_of_rotation: self.broker.out_of_rotation(now),
         };
         self.figures.lines(gauges)
     }
@@ -79,7 +79,7 @@
 
     /// All that was taken is answered and the process ends: from now on what comes is turned away at once, and all
     /// clients' connections are let go.
-    pub fn close_doors(&mut self, out: &mut Vec<Command>) {
+    pub fn start_refusing(&mut self, out: &mut Vec<Command>) {
         self.phase.close();
         self.let_all_go(out);
         if let Some(whip) = &mut self.whip {
@@ -93,12 +93,12 @@
     /// Once the doors are closed and nothing plays whose end is still to be told, lets every connection go on which no
     /// answer is owed.
     pub(super) fn let_all_go(&mut self, out: &mut Vec<Command>) {
-        if !self.phase.closed() || self.broker.standing() > 0 {
+        if !self.phase.closed() || self.broker.established() > 0 {
             return;
         }
         for (conn, c) in self.viewers.iter_mut().filter(|(_, c)| !c.closing && c.open.is_empty()) {
             c.closing = true;
-            out.push(Command::LetGo(*conn, "stopping"));
+            out.push(Command::CloseIfQuiet(*conn, "stopping"));
         }
     }
 
@@ -128,7 +128,7 @@
                 out.push(if reason == UNFINISHED {
                     Command::Close(*conn, reason)
                 } else {
-                    Command::LetGo(*conn, reason)
+                    Command::CloseIfQuiet(*conn, reason)
                 });
             }
         }
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -5,9 +5,9 @@
 use super::Node;
 use crate::api::*;
 use crate::broker::{Input, SetUp};
-use crate::edge::Told;
-use crate::platform::links::{Command, Heard, Withdrawal, status};
-use crate::roster::News;
+use crate::edge::PoolEvent;
+use crate::platform::links::{Command, ServerMessage, Withdrawal, status};
+use crate::roster::ListUpdate;
 
 impl Node {
     /// Tells of the connections to a server that are among fresh commands.
@@ -22,7 +22,7 @@
     pub(super) fn look(&mut self, now: Micros, out: &mut Vec<Command>) {
         // Those that speak WHIP or WHEP have no connection of their own to be heard on.
         let spoken = self.servers.keys().filter(|s| !self.pool.serves(s));
-        let busy: Vec<ServerId> = spoken.filter(|s| self.broker.stands_any(s)).cloned().collect();
+        let busy: Vec<ServerId> = spoken.filter(|s| self.broker.has_established_at(s)).cloned().collect();
         let connected = self.links.connected();
         for server in self.links.silent(now, busy.iter().cloned()) {
             self.check(now, &server, out);
@@ -33,9 +33,9 @@
     }
 
     /// Descriptors are short: a connection to a server where nothing plays makes room.
-    pub fn spare_link(&mut self, out: &mut Vec<Command>) {
+    pub fn close_idle_link(&mut self, out: &mut Vec<Command>) {
         let broker = &self.broker;
-        self.links.spare(|server| broker.stands_any(server), out);
+        self.links.close_idle(|server| broker.has_established_at(server), out);
     }
 
     /// Finds out by one more connection whether a server is lost.
@@ -44,12 +44,12 @@
         let there = self.links.check(now, server, out);
         self.dialled(now, server, "check", &out[before..]);
         if !there {
-            self.tell(now, Input::Lost(server.clone()), out);
+            self.tell(now, Input::ServerLost(server.clone()), out);
         }
     }
 
     /// News of the list of servers.
-    pub fn news(&mut self, now: Micros, news: News, out: &mut Vec<Command>) {
+    pub fn news(&mut self, now: Micros, news: ListUpdate, out: &mut Vec<Command>) {
         if !news.servers.is_empty() {
             self.phase.listed();
         }
@@ -91,7 +91,7 @@
         }
         for server in lost {
             self.pool.lost(now, &server, false, out);
-            self.tell(now, Input::Lost(server), out);
+            self.tell(now, Input::ServerLost(server), out);
         }
         let servers: Vec<ServerEntry> = news.servers.into_iter().map(|l| l.entry).collect();
         let servers = self.allowed(servers);
@@ -105,27 +105,29 @@
     }
 
     /// What servers that speak WHIP or WHEP tell.
-    pub(super) fn told(&mut self, now: Micros, told: Vec<Told>, out: &mut Vec<Command>) {
+    pub(super) fn told(&mut self, now: Micros, told: Vec<PoolEvent>, out: &mut Vec<Command>) {
         for told in told {
             match told {
-                Told::Answer(id, server, answer) => self.tell(now, Input::Stands { id, server, answer }, out),
-                Told::Over(id, server, status, load) => {
-                    self.tell(now, Input::Over { id, server, status, load }, out);
+                PoolEvent::Answer(id, server, answer) => {
+                    self.tell(now, Input::Established { id, server, answer }, out)
                 }
-                Told::Note(id, server, note) => self.tell(now, Input::Note { id, server, note }, out),
-                Told::Refused(server) => {
+                PoolEvent::Ended(id, server, status, load) => {
+                    self.tell(now, Input::Ended { id, server, status, load }, out);
+                }
+                PoolEvent::Note(id, server, note) => self.tell(now, Input::Note { id, server, note }, out),
+                PoolEvent::Refused(server) => {
                     // One that drains may turn connections down while its sessions play.
                     let ready = self.servers.get(&server).is_some_and(|(s, _)| *s == ServerState::Ready);
-                    if ready && self.broker.stands_any(&server) {
+                    if ready && self.broker.has_established_at(&server) {
                         self.pool.lost(now, &server, true, out);
-                        self.tell(now, Input::Lost(server), out);
+                        self.tell(now, Input::ServerLost(server), out);
                     }
                 }
-                Told::Patched(conn, id, answer) => {
+                PoolEvent::Patched(conn, id, answer) => {
                     self.whip(now, out, |whip, _, wishes| whip.patched(conn, id, answer, wishes));
                     self.whip(now, out, |whip, sure, wishes| whip.read_on(now, sure, wishes));
                 }
-                Told::Log(line) => self.log.push(line),
+                PoolEvent::Log(line) => self.log.push(line),
             }
         }
     }
@@ -135,18 +137,24 @@
         self.pool.ending()
     }
 
-    pub(super) fn heard(&mut self, now: Micros, server: &ServerId, heard: Heard, out: &mut Vec<Command>) {
+    pub(super) fn heard(
+        &mut self,
+        now: Micros,
+        server: &ServerId,
+        heard: ServerMessage,
+        out: &mut Vec<Command>,
+    ) {
         if self.passes_on(&heard) {
             return;
         }
         let server = server.clone();
         let input = match heard {
-            Heard::Answer(id, answer) => Input::Stands { id, server, answer },
-            Heard::Release(id, cause, load) => {
-                let status = status(cause, self.broker.stands(id, &server));
-                Input::Over { id, server, status, load }
+            ServerMessage::Answer(id, answer) => Input::Established { id, server, answer },
+            ServerMessage::Release(id, cause, load) => {
+                let status = status(cause, self.broker.is_established_at(id, &server));
+                Input::Ended { id, server, status, load }
             }
-            Heard::Note(id, note) => Input::Note { id, server, note },
+            ServerMessage::Note(id, note) => Input::Note { id, server, note },
         };
         self.tell(now, input, out);
     }
@@ -178,7 +186,7 @@
         self.dialled(now, &set_up.server, "set-up", &out[before..]);
         if let Err(status) = sent {
             let (id, server, load) = (set_up.id, set_up.server.clone(), Load::default());
-            self.tell(now, Input::Over { id, server, status, load }, out);
+            self.tell(now, Input::Ended { id, server, status, load }, out);
         }
     }
 }
--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -8,7 +8,7 @@
 use crate::operate::settings::{Merged, merge};
 use crate::platform::links::Command;
 use crate::platform::timings::Timings;
-use crate::roster::Names;
+use crate::roster::SettingNames;
 use crate::watch::judge::Role;
 
 impl Node {
@@ -26,14 +26,14 @@
         self.refront(config, &merged);
         let Merged { settings, names, waits, .. } = merged;
         self.timings = Timings::new(&settings, config.idle, config.connect_timeout);
-        self.links.retime(self.timings);
+        self.links.update_timings(self.timings);
         (self.names, self.settings, self.renamed_at) = (names, settings.clone(), now);
         self.tell(now, Input::Settings(Box::new(settings)), out);
         waits
     }
 
     /// How the settings in use name things.
-    pub fn names(&self) -> &Names {
+    pub fn names(&self) -> &SettingNames {
         &self.names
     }
 
--- a/src/node/viewers.rs
+++ b/src/node/viewers.rs
@@ -7,7 +7,7 @@
 use crate::mutant::{self, Mutant};
 use crate::operate::figures::Outcome;
 use crate::platform::links::{Command, ConnId};
-use crate::platform::viewer::{self, Said};
+use crate::platform::viewer::{self, ViewerMessage};
 
 /// How long a release waits for a connection that it could go out on: as long as a drain may take, in which clients
 /// have none here. Late is better than never, as its client goes by it that the session plays.
@@ -31,21 +31,23 @@
 }
 
 impl Node {
-    pub(super) fn said(&mut self, now: Micros, conn: ConnId, said: Said, out: &mut Vec<Command>) {
-        if !matches!(said, Said::Ping(_)) {
+    pub(super) fn said(&mut self, now: Micros, conn: ConnId, said: ViewerMessage, out: &mut Vec<Command>) {
+        if !matches!(said, ViewerMessage::Ping(_)) {
             self.pay_owed(now, conn, out);
         }
         match said {
-            Said::Ping(id) => self.say(now, Some(conn), &viewer::pong(id, self.phase.passes(now)), out),
-            Said::Release(id) => {
+            ViewerMessage::Ping(id) => {
+                self.say(now, Some(conn), &viewer::pong(id, self.phase.passes(now)), out)
+            }
+            ViewerMessage::Release(id) => {
                 self.forget(id);
                 if self.broker.knows(id) {
-                    self.tell(now, Input::Left(id), out);
+                    self.tell(now, Input::ClientLeft(id), out);
                 } else {
                     self.stray(id);
                 }
             }
-            Said::SetUp(request, description) => {
+            ViewerMessage::SetUp(request, description) => {
                 let id = request.id;
                 if self.broker.knows(id) {
                     return self.taken(now, conn, id, out);
@@ -56,34 +58,34 @@
                 }
                 self.ask(now, request, description.into_bytes().into(), out);
             }
-            Said::Unfit(id, _) if self.broker.knows(id) => self.taken(now, conn, id, out),
-            Said::Unfit(id, class) => {
+            ViewerMessage::Unfit(id, _) if self.broker.knows(id) => self.taken(now, conn, id, out),
+            ViewerMessage::Unfit(id, class) => {
                 if let Some(class) = class {
                     self.figures.asked(id, named(&self.names.classes, class));
                     self.figures.answered(id, Outcome::Faulted);
                 }
                 self.say(now, Some(conn), &viewer::failed(id), out);
             }
-            Said::Playing(request, _) if self.phase.closed() => {
+            ViewerMessage::Playing(request, _) if self.phase.closed() => {
                 self.carry_out(now, Effect::Ended(request.id, Status::Reset), out);
             }
-            Said::Playing(request, server) => {
+            ViewerMessage::Playing(request, server) => {
                 self.homes.entry(request.id).or_insert(conn);
-                self.tell(now, Input::Open(request, server.clone()), out);
+                self.tell(now, Input::ExistingSession(request, server.clone()), out);
                 let before = out.len();
-                self.links.attend(now, &server, out);
+                self.links.ensure_connected(now, &server, out);
                 self.dialled(now, &server, "notes", &out[before..]);
             }
         }
     }
 
     /// A connection that was to be let go stays: its client has said something.
-    pub fn stays(&mut self, now: Micros, conn: ConnId) {
+    pub fn keep_open(&mut self, now: Micros, conn: ConnId) {
         if let Some(c) = self.viewers.get_mut(&conn) {
             (c.closing, c.used) = (false, now);
         }
         if let Some(whip) = &mut self.whip {
-            whip.stays(now, conn);
+            whip.keep_open(now, conn);
         }
     }
 
@@ -95,7 +97,7 @@
         }
         for (until, bytes) in std::mem::take(&mut self.owed) {
             if until > now {
-                out.push(Command::WriteEnd(conn, bytes));
+                out.push(Command::WriteSessionEnd(conn, bytes));
             }
         }
     }
@@ -199,7 +201,7 @@
         // What is written behind the end of a connection reaches nobody.
         let open = |conn: &ConnId| self.viewers.get(conn).is_some_and(|c| !c.closing && c.asked);
         match home.filter(open).or_else(|| self.viewers.keys().rev().copied().find(open)) {
-            Some(conn) => out.push(Command::WriteEnd(conn, bytes)),
+            Some(conn) => out.push(Command::WriteSessionEnd(conn, bytes)),
             None => {
                 self.owed.push_back((now + OWED_KEPT, bytes));
                 self.owed.drain(..self.owed.len().saturating_sub(self.owed_most));
@@ -208,7 +210,7 @@
     }
 
     /// Ends of sessions that were not written whole when their connection ended: they go out on another, or on the next.
-    pub fn ends_returned(&mut self, now: Micros, ends: Vec<Vec<u8>>, out: &mut Vec<Command>) {
+    pub fn requeue_session_ends(&mut self, now: Micros, ends: Vec<Vec<u8>>, out: &mut Vec<Command>) {
         for bytes in ends {
             self.tell_end(now, None, bytes, out);
         }
--- a/src/operate/figures.rs
+++ b/src/operate/figures.rs
@@ -54,7 +54,7 @@
 
 /// All counts.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     /// By name: a class that goes and comes back goes on counting.
     classes: BTreeMap<String, Counts>,
     /// The class under which each unanswered request was taken.
@@ -66,7 +66,7 @@
     invalid: u64,
 }
 
-impl Figures {
+impl Metrics {
     /// Counts from 0 for these classes too, so that a class is told of before its first request.
     pub fn classes<'a>(&mut self, names: impl IntoIterator<Item = &'a String>) {
         for name in names {
@@ -111,7 +111,7 @@
     }
 
     /// What is remembered of requests.
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_entries(&self) -> usize {
         self.open.len()
     }
 
@@ -149,7 +149,7 @@
 
     #[test]
     fn each_request_counts_once_under_the_class_that_it_was_taken_under() {
-        let mut figures = Figures::default();
+        let mut figures = Metrics::default();
         figures.classes(&["clip".to_owned(), "paid".to_owned()]);
         for n in 0..4 {
             figures.asked(SessionId(n), if n < 3 { "paid" } else { "gone" });
@@ -185,6 +185,6 @@
             broker.client_connections=3\nbroker.registry_entries=13\nbroker.out_of_rotation=2\n\
             broker.cfg_accepted=1\nbroker.cfg_invalid=2\n";
         assert_eq!(figures.lines(gauges), told);
-        assert_eq!(figures.remembered(), 0);
+        assert_eq!(figures.tracked_entries(), 0);
     }
 }
--- a/src/platform/links.rs
+++ b/src/platform/links.rs
@@ -14,7 +14,7 @@
 use crate::message::cause;
 use link::Link;
 pub use withdrawal::Withdrawal;
-pub use words::{Broken, Closed, Command, Heard, Server};
+pub use words::{Command, ConnectionEnd, LostConnection, ServerMessage, ServerStatus};
 
 /// A connection, counted from the start of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -93,7 +93,7 @@
             self.checked.remove(server);
             for (conn, link) in self.links.iter_mut().filter(|(_, l)| l.server == *server && !l.broken) {
                 link.broken = true;
-                out.push(Command::Cut(*conn, "moved"));
+                out.push(Command::Abort(*conn, "moved"));
             }
         }
         if let Some(before) = self.at.insert(address, server.clone()) {
@@ -163,22 +163,27 @@
     }
 
     /// Opens a connection where none is, so that a server's notes and releases have a way.
-    pub fn attend(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) {
+    pub fn ensure_connected(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) {
         if self.usable(now, server).is_none() {
             self.dial(now, server, out);
         }
     }
 
     /// The same for a server with sessions that another process held: how long it was not heard of counts from now.
-    pub fn attend_passed(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) {
+    pub fn ensure_connected_after_handover(
+        &mut self,
+        now: Micros,
+        server: &ServerId,
+        out: &mut Vec<Command>,
+    ) {
         if self.addresses.contains_key(server) {
             self.alive.entry(server.clone()).or_insert(now);
         }
-        self.attend(now, server, out);
+        self.ensure_connected(now, server, out);
     }
 
     /// Other times of servers from now on: when they close idle connections, and how often and late they tell.
-    pub fn retime(&mut self, timings: Timings) {
+    pub fn update_timings(&mut self, timings: Timings) {
         self.timings = timings;
     }
 
@@ -199,7 +204,7 @@
         for (id, old) in self.links.iter_mut().filter(|(id, l)| **id != conn && l.server == server) {
             if old.up() && old.set_ups.is_empty() {
                 old.left = true;
-                out.push(Command::Leave(*id, "replaced"));
+                out.push(Command::LingeringClose(*id, "replaced"));
             }
         }
     }
@@ -212,7 +217,7 @@
         conn: ConnId,
         bytes: &[u8],
         out: &mut Vec<Command>,
-    ) -> (ServerId, Vec<Heard>) {
+    ) -> (ServerId, Vec<ServerMessage>) {
         let mut heard = Vec::new();
         let Some(link) = self.links.get_mut(&conn).filter(|l| !l.broken) else {
             return (ServerId::default(), heard);
@@ -222,9 +227,9 @@
         link.decoder.feed(bytes);
         if let Err(error) = link.read(&mut heard) {
             link.broken = true;
-            out.push(Command::Cut(conn, error.code()));
+            out.push(Command::Abort(conn, error.code()));
         }
-        if heard.iter().any(|heard| matches!(heard, Heard::Note(_, Note::Link(_)))) {
+        if heard.iter().any(|heard| matches!(heard, ServerMessage::Note(_, Note::Link(_)))) {
             self.noted = now;
         }
         link.begun = if link.decoder.begun() { link.begun.or(Some(now)) } else { None };
--- a/src/quorum/ledger/ruled.rs
+++ b/src/quorum/ledger/ruled.rs
@@ -3,22 +3,22 @@
 use super::Ledger;
 use crate::api::Micros;
 use crate::quorum::book::{Book, Entry};
-use crate::quorum::frame::Beat;
+use crate::quorum::frame::Heartbeat;
 use crate::quorum::view::ActingStatus;
-use crate::quorum::{Boot, Process};
+use crate::quorum::{BootTime, Process};
 use crate::rules::document::Rules;
-use crate::rules::standing::Word;
-use crate::rules::version::{Proposal, Unproposed, Version};
+use crate::rules::standing::RulesUpdate;
+use crate::rules::version::{Proposal, ProposeError, Version};
 
 impl Ledger {
     /// What a process is told of the rules: it may go by them for a while from when it asked.
-    pub(super) fn word(&mut self, now: Boot, beat: &Beat, book: &Book) -> Word {
+    pub(super) fn word(&mut self, now: BootTime, beat: &Heartbeat, book: &Book) -> RulesUpdate {
         // Also while there are no rules: the first ones wait for all that act on none.
         let ruled = &book.rules;
         let (force, accepted, _) = &beat.rules;
         self.forcing.answered(now, &beat.process, *accepted, (ruled.force(), ruled.last));
         let lacks = |v: &&Version| v.number != *force && v.number != *accepted;
-        Word {
+        RulesUpdate {
             force: ruled.force(),
             announced: ruled.announced(),
             versions: [&ruled.force, &ruled.announced].into_iter().flatten().filter(lacks).cloned().collect(),
@@ -28,7 +28,7 @@
     }
 
     /// Brings the announced version into force, or withdraws it if somebody can't use it.
-    pub(super) fn rules(&mut self, now: Boot, book: &Book, entries: &mut Vec<Entry>) {
+    pub(super) fn rules(&mut self, now: BootTime, book: &Book, entries: &mut Vec<Entry>) {
         let (reign, number) = (self.reign, book.rules.announced());
         let refused =
             self.forcing.refusal(&book.rules).map(|(process, why)| format!("{}: {why}", process.name));
@@ -43,23 +43,23 @@
     }
 
     /// A document that is to be announced, if it may be.
-    pub fn propose(&mut self, book: &Book, proposal: Proposal) -> Result<Entry, Unproposed> {
+    pub fn propose(&mut self, book: &Book, proposal: Proposal) -> Result<Entry, ProposeError> {
         let Proposal { text, parent, author, note, at_ms } = proposal;
         let ruled = &book.rules;
         if let Some(number) = self.announcing.or(ruled.announced.as_ref().map(|v| v.number)) {
-            return Err(Unproposed::Underway(number));
+            return Err(ProposeError::Underway(number));
         }
         let force = ruled.force();
         let parent = parent.unwrap_or(force);
         if parent != force {
-            return Err(Unproposed::Parent { parent, force });
+            return Err(ProposeError::Parent { parent, force });
         }
-        let wrong = |findings: crate::records::Findings| Unproposed::Wrong(findings.to_string());
+        let wrong = |findings: crate::records::Findings| ProposeError::Wrong(findings.to_string());
         let rules = Rules::read("", &text).map_err(wrong)?;
         if let Some(before) = &ruled.force {
             let old = Rules::read("", &before.text).map_err(wrong)?;
             if old == rules {
-                return Err(Unproposed::Same(force));
+                return Err(ProposeError::Same(force));
             }
             rules.follows(&old, "", &text).map_err(wrong)?;
         }
@@ -77,7 +77,7 @@
     }
 
     /// Who acts on what.
-    pub fn acting(&self, now: Boot) -> Vec<ActingStatus> {
+    pub fn acting(&self, now: BootTime) -> Vec<ActingStatus> {
         let one = |(process, told, accepted, left): (&Process, u64, u64, Micros)| ActingStatus {
             name: process.name.clone(),
             incarnation: process.incarnation.0,
--- a/src/quorum/machine.rs
+++ b/src/quorum/machine.rs
@@ -8,18 +8,18 @@
 use super::book::Change;
 use super::council::{Council, NOBODY, Tenure};
 use super::founding::{Barred, Founding, Papers, Step};
-use super::frame::{Beat, Counts, Frame, Hello, NoFrame, Refused, Told};
-use super::fronts::{Crowd, Fronts};
+use super::frame::{Counts, Frame, FrameError, Heartbeat, HeartbeatReply, Hello, Refused};
+use super::fronts::{Crowd, FleetPosition};
 use super::holder::{Holder, News};
 use super::journal::{self, Identity, Read};
 use super::ledger::{Ledger, Via};
 use super::record::{self, Done, Job, Writer};
 use super::store::Store;
 use super::view::{DutyStatus, Fleet, MemberStatus, Status, View, VoterStatus};
-use super::{Boot, Duty, Epoch, IDLE, Incarnation, Name, Process, RECORD, Setup, VoterId};
+use super::{BootTime, Duty, Epoch, IDLE, Incarnation, Name, Process, QuorumConfig, RECORD, VoterId};
 use crate::api::Micros;
 use crate::mutant::{self, Mutant};
-use crate::rules::standing::{Standing, Sure};
+use crate::rules::standing::{LocalRules, RulesFreshness};
 
 mod ruled;
 mod succession;
@@ -45,7 +45,7 @@
     /// A frame came on it.
     Called(u64, Frame),
     /// What came on it is no frame.
-    NoFrame(u64, NoFrame),
+    FrameError(u64, FrameError),
     /// It has ended.
     Hung(u64),
     /// The journal is on disk up to this frame.
@@ -82,9 +82,9 @@
     /// A line of the record is to be written.
     Record(Job),
     /// The module is told how many fronts there are.
-    Fronts(Fronts),
+    FleetPosition(FleetPosition),
     /// What this process acts on, from now on.
-    Rules(Standing),
+    Rules(LocalRules),
     /// Something to tell in the log.
     Tell(Event),
 }
@@ -107,13 +107,13 @@
     /// It no longer does, and why.
     Lost(Duty, Epoch, &'static str),
     /// It acts for the duty without effects: the look at the clock that allowed it.
-    Acts(Duty, Epoch, Boot),
+    Acts(Duty, Epoch, BootTime),
     /// The agreed log: a duty was granted or ended.
     Changed(u64, Change),
     /// A connection was refused, by whom and why.
     Refused(String, Refused),
     /// How sure this process is of its rules.
-    Sure(Sure),
+    Sure(RulesFreshness),
     /// A line of the record was not written.
     Unrecorded(Epoch, Done),
 }
@@ -144,7 +144,7 @@
     /// How far the others' journals are known to reach.
     heard: BTreeMap<VoterId, u64>,
     heard_kept: BTreeMap<VoterId, u64>,
-    look_at: Boot,
+    look_at: BootTime,
     /// Where beats that were passed on came from.
     passed: BTreeMap<Process, Via>,
     /// What waits for the disk before this voter may vote: a roster, or the council that was written last.
@@ -157,7 +157,7 @@
 
 /// One process's part in a quorum.
 pub struct Machine {
-    setup: Setup,
+    setup: QuorumConfig,
     process: Process,
     council: Council,
     seat: Option<Seat>,
@@ -168,30 +168,30 @@
     target: VoterId,
     seq: u64,
     answered: u64,
-    asked_since: Boot,
-    beat_at: Boot,
+    asked_since: BootTime,
+    beat_at: BootTime,
     view: View,
     crowd: Option<Crowd>,
-    standing: Standing,
+    standing: LocalRules,
     /// How sure it was when that was told last.
-    sure: Sure,
+    sure: RulesFreshness,
     fleet: Fleet,
     leader: Option<VoterId>,
     counts: Counts,
     draining: bool,
     twin: bool,
     writer: Writer,
-    idle_at: Boot,
+    idle_at: BootTime,
     idle_acts: u64,
 }
 
 impl Machine {
     /// A process in a run of its own; a voter brings what its journal held, or why it can't be used.
     pub fn new(
-        setup: &Setup,
+        setup: &QuorumConfig,
         incarnation: Incarnation,
         journal: Option<Result<Option<Read>, Barred>>,
-        now: Boot,
+        now: BootTime,
         out: &mut Vec<Out>,
     ) -> Machine {
         let process = Process { name: setup.name.clone(), incarnation };
@@ -212,8 +212,8 @@
             asked_since: now,
             beat_at: now,
             view: View::default(),
-            standing: Standing::default(),
-            sure: Sure::None,
+            standing: LocalRules::default(),
+            sure: RulesFreshness::None,
             crowd: setup.fronts.map(|settle| Crowd::new(setup.name.clone(), settle)),
             fleet: Fleet::new(),
             leader: None,
@@ -234,7 +234,7 @@
     }
 
     /// Takes this voter's seat, or a spare's, with what its journal held.
-    fn sit(&mut self, read: Option<Read>, now: Boot, out: &mut Vec<Out>) {
+    fn sit(&mut self, read: Option<Read>, now: BootTime, out: &mut Vec<Out>) {
         let fresh = read.is_none();
         let read = read.unwrap_or_else(|| Read {
             identity: Identity {
@@ -316,7 +316,7 @@
     }
 
     /// Something happens.
-    pub fn handle(&mut self, now: Boot, input: Input, out: &mut Vec<Out>) {
+    pub fn handle(&mut self, now: BootTime, input: Input, out: &mut Vec<Out>) {
         match input {
             Input::Tick => {}
             Input::Up(voter) => {
@@ -332,9 +332,9 @@
                 self.callers.insert(conn, Caller { process: None, voter: None, papers: None });
             }
             Input::Called(conn, frame) => self.called(now, conn, frame, out),
-            Input::NoFrame(conn, why) => {
+            Input::FrameError(conn, why) => {
                 let refused = match why {
-                    NoFrame::Format(_) => Refused::Format(super::frame::FORMAT),
+                    FrameError::Format(_) => Refused::Format(super::frame::FORMAT),
                     _ => Refused::Garbled,
                 };
                 self.refuse(conn, refused, out);
@@ -367,11 +367,14 @@
     }
 
     /// When [`Input::Tick`] is wanted next.
-    pub fn next(&self) -> Boot {
+    pub fn next(&self) -> BootTime {
         let seat = self.seat.as_ref();
         let led = seat.and_then(|s| s.ledger.as_ref().zip(s.agree.as_ref()));
         let ledger = led.and_then(|(ledger, agree)| ledger.next(agree.book()));
-        let doubt = self.standing.until().filter(|_| !matches!(self.sure, Sure::None | Sure::Unsure(_)));
+        let doubt = self
+            .standing
+            .until()
+            .filter(|_| !matches!(self.sure, RulesFreshness::None | RulesFreshness::Unsure(_)));
         let acts = self.holder.holds().filter_map(|(duty, _)| match duty.0.as_str() {
             RECORD => self.writer.due(),
             _ => Some(self.idle_at),
@@ -380,7 +383,7 @@
         let crowd = self.crowd.as_ref().and_then(Crowd::next);
         let other =
             ledger.into_iter().chain(doubt).chain(crowd).chain(acts).chain(look).chain(self.holder.next());
-        other.fold(self.beat_at, Boot::min)
+        other.fold(self.beat_at, BootTime::min)
     }
 
     // ---- What others say.
@@ -405,7 +408,7 @@
     }
 
     /// A frame on a connection that was accepted.
-    fn called(&mut self, now: Boot, conn: u64, frame: Frame, out: &mut Vec<Out>) {
+    fn called(&mut self, now: BootTime, conn: u64, frame: Frame, out: &mut Vec<Out>) {
         let Some(caller) = self.callers.get(&conn) else { return };
         match (frame, caller.voter) {
             (Frame::Hello(hello), _) => self.greeted(conn, hello, out),
@@ -422,7 +425,7 @@
                 let leader = self.leader_name();
                 out.push(Out::Reply(conn, Frame::HandingOn(done.unwrap_or(false), leader)));
             }
-            (Frame::Beat(beat, passed), _) if caller.process.is_some() => {
+            (Frame::Heartbeat(beat, passed), _) if caller.process.is_some() => {
                 // A voter may pass on what others say; everybody else speaks for itself.
                 let own = caller.process.as_ref() == Some(&beat.process);
                 let for_another = passed && caller.voter.is_some();
@@ -546,7 +549,7 @@
     }
 
     /// A frame on a link to a voter.
-    fn answer(&mut self, now: Boot, voter: VoterId, frame: Frame, out: &mut Vec<Out>) {
+    fn answer(&mut self, now: BootTime, voter: VoterId, frame: Frame, out: &mut Vec<Out>) {
         match frame {
             Frame::Welcome(process, papers) => {
                 if self.council.voter(voter).is_none_or(|v| v.name != process.name) {
@@ -568,7 +571,7 @@
                 }
                 out.push(Out::Redial(voter, "refused"));
             }
-            Frame::Told(told) => self.told(now, told, out),
+            Frame::HeartbeatReply(told) => self.told(now, told, out),
             Frame::Nudge(process) => self.nudged(now, process, out),
             Frame::Council(tenure) => self.succeed(*tenure, out),
             _ => out.push(Out::Redial(voter, "garbled")),
@@ -576,7 +579,7 @@
     }
 
     /// Another voter has shown its papers.
-    fn met(&mut self, now: Boot, papers: Papers, out: &mut Vec<Out>) {
+    fn met(&mut self, now: BootTime, papers: Papers, out: &mut Vec<Out>) {
         let Some(seat) = &mut self.seat else { return };
         let voter = papers.voter;
         if seat.me == NOBODY || voter == NOBODY || papers.council != self.council.number {
@@ -648,13 +651,13 @@
     }
 
     /// Does all that is due, and lets out what may leave.
-    fn pump(&mut self, now: Boot, out: &mut Vec<Out>) {
+    fn pump(&mut self, now: BootTime, out: &mut Vec<Out>) {
         self.vote(now, out);
         for news in self.holder.expire(now) {
             self.news(news, out);
         }
         let fronts = self.crowd.as_mut().and_then(|crowd| crowd.look(now, &self.view));
-        out.extend(fronts.map(Out::Fronts));
+        out.extend(fronts.map(Out::FleetPosition));
         let sure = self.standing.sure(now);
         if sure != self.sure {
             self.sure = sure;
@@ -668,7 +671,7 @@
     }
 
     /// The voter's part of [`Machine::pump`].
-    fn vote(&mut self, now: Boot, out: &mut Vec<Out>) {
+    fn vote(&mut self, now: BootTime, out: &mut Vec<Out>) {
         let Some(seat) = &mut self.seat else { return };
         let Some(agree) = &mut seat.agree else { return };
         if now >= seat.look_at {
@@ -721,7 +724,7 @@
     }
 
     /// The log has grown by an entry.
-    fn changed(&mut self, now: Boot, index: u64, change: Change, out: &mut Vec<Out>) {
+    fn changed(&mut self, now: BootTime, index: u64, change: Change, out: &mut Vec<Out>) {
         let Some(seat) = &mut self.seat else { return };
         let Some(agree) = &seat.agree else { return };
         if let Change::Led(voter, ballot, reign) = &change {
@@ -751,7 +754,7 @@
     }
 
     /// A beat is wanted at once: this process's own, or that of one whose beats it passed on.
-    fn nudged(&mut self, now: Boot, process: Process, out: &mut Vec<Out>) {
+    fn nudged(&mut self, now: BootTime, process: Process, out: &mut Vec<Out>) {
         if process == self.process {
             self.beat_at = now;
             return;
@@ -763,7 +766,7 @@
     }
 
     /// The leader's part.
-    fn lead(&mut self, now: Boot, out: &mut Vec<Out>) {
+    fn lead(&mut self, now: BootTime, out: &mut Vec<Out>) {
         let Some(seat) = &mut self.seat else { return };
         let Some(agree) = &mut seat.agree else { return };
         let ballot = agree.leads();
@@ -792,7 +795,7 @@
     }
 
     /// A voter says that it follows.
-    fn confirmed(&mut self, now: Boot, voter: VoterId, confirm: Confirm, out: &mut Vec<Out>) {
+    fn confirmed(&mut self, now: BootTime, voter: VoterId, confirm: Confirm, out: &mut Vec<Out>) {
         let Some(seat) = &mut self.seat else { return };
         let (Some(agree), Some(ledger)) = (&seat.agree, &mut seat.ledger) else { return };
         if agree.leads() != Some(confirm.ballot) || agree.council() != confirm.council {
@@ -804,7 +807,7 @@
     }
 
     /// A beat has reached this voter.
-    fn beaten(&mut self, now: Boot, via: Via, beat: Beat, passed: bool, out: &mut Vec<Out>) {
+    fn beaten(&mut self, now: BootTime, via: Via, beat: Heartbeat, passed: bool, out: &mut Vec<Out>) {
         let Some(seat) = &mut self.seat else { return };
         let Some(agree) = &seat.agree else { return };
         if let Some(ledger) = &mut seat.ledger {
@@ -819,14 +822,14 @@
                 seat.passed.clear();
             }
             seat.passed.insert(beat.process.clone(), via);
-            out.push(Out::Send(leader, Frame::Beat(beat, true)));
+            out.push(Out::Send(leader, Frame::Heartbeat(beat, true)));
         }
     }
 
-    fn reply(&mut self, now: Boot, via: Via, told: Told, out: &mut Vec<Out>) {
+    fn reply(&mut self, now: BootTime, via: Via, told: HeartbeatReply, out: &mut Vec<Out>) {
         match via {
             Via::Own => self.told(now, told, out),
-            Via::Conn(conn) => out.push(Out::Reply(conn, Frame::Told(told))),
+            Via::Conn(conn) => out.push(Out::Reply(conn, Frame::HeartbeatReply(told))),
         }
     }
 
@@ -841,7 +844,7 @@
         }
     }
 
-    fn beat(&mut self, now: Boot, out: &mut Vec<Out>) {
+    fn beat(&mut self, now: BootTime, out: &mut Vec<Out>) {
         self.beat_at = now.after(self.setup.beat);
         if self.answered == self.seq {
             self.asked_since = now;
@@ -857,7 +860,7 @@
             let count = if duty.0 == RECORD { self.writer.written() } else { self.idle_acts };
             (duty.clone(), epoch, count)
         });
-        let beat = Beat {
+        let beat = Heartbeat {
             process: self.process.clone(),
             seq: self.seq,
             version: self.view.version,
@@ -873,12 +876,12 @@
         if Some(self.target) == self.seat.as_ref().map(|s| s.me) {
             self.beaten(now, Via::Own, beat, false, out);
         } else {
-            out.push(Out::Send(self.target, Frame::Beat(beat, false)));
+            out.push(Out::Send(self.target, Frame::Heartbeat(beat, false)));
         }
     }
 
     /// A beat was answered: this process's own, or one that it passed on.
-    fn told(&mut self, now: Boot, told: Told, out: &mut Vec<Out>) {
+    fn told(&mut self, now: BootTime, told: HeartbeatReply, out: &mut Vec<Out>) {
         if told.process != self.process {
             let via = self.seat.as_mut().and_then(|s| s.passed.get(&told.process).copied());
             if let Some(via @ Via::Conn(_)) = via {
@@ -940,7 +943,7 @@
     }
 
     /// Acts for the duties that are held, as far as the permit of this very moment allows.
-    fn act(&mut self, now: Boot, out: &mut Vec<Out>) {
+    fn act(&mut self, now: BootTime, out: &mut Vec<Out>) {
         let (idle, record) = (Duty(IDLE.into()), record::duty());
         if now >= self.idle_at
             && let Some(epoch) = self.holder.permit(&idle, now).and_then(|p| p.still(now))
@@ -965,7 +968,7 @@
     }
 
     /// How things stand, as far as this process knows.
-    pub fn status(&self, now: Boot) -> Status {
+    pub fn status(&self, now: BootTime) -> Status {
         let seat = self.seat.as_ref();
         let book = seat.and_then(|s| s.agree.as_ref()).map(Agree::book);
         let ledger = seat.and_then(|s| s.ledger.as_ref());
--- a/src/roster/listed.rs
+++ b/src/roster/listed.rs
@@ -7,7 +7,7 @@
 
 /// Names that the settings give to what the core counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Names {
+pub struct SettingNames {
     /// Classes, in the order of [`crate::api::Settings::classes`].
     pub classes: Vec<String>,
     /// Tenants.
@@ -24,7 +24,7 @@
     pub lately: bool,
 }
 
-impl Names {
+impl SettingNames {
     /// The index of a name, if it is one.
     pub fn index(list: &[String], name: &str) -> Option<usize> {
         list.iter().position(|n| n == name)
@@ -32,12 +32,12 @@
 
     /// The class that requests of this name get.
     pub fn class(&self, name: &str) -> Option<usize> {
-        Names::current(&self.classes, &self.retired, self.lately, name)
+        SettingNames::current(&self.classes, &self.retired, self.lately, name)
     }
 
     /// The tenant of this name.
     pub fn tenant(&self, name: &str) -> Option<usize> {
-        Names::current(&self.tenants, &self.retired_tenants, self.lately, name)
+        SettingNames::current(&self.tenants, &self.retired_tenants, self.lately, name)
     }
 
     fn current(list: &[String], retired: &BTreeSet<usize>, lately: bool, name: &str) -> Option<usize> {
@@ -49,7 +49,7 @@
 
 /// A line of the list with its address.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedServer {
     /// What the module is told.
     pub entry: ServerEntry,
     /// Where it listens.
@@ -69,18 +69,18 @@
     pub events: Option<Text>,
 }
 
-impl Listed {
+impl ListedServer {
     /// A server that speaks the platform's messages.
-    pub fn new(entry: ServerEntry, address: SocketAddr) -> Listed {
-        Listed { entry, address, paths: None }
+    pub fn new(entry: ServerEntry, address: SocketAddr) -> ListedServer {
+        ListedServer { entry, address, paths: None }
     }
 }
 
 /// A change of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct ListUpdate {
     /// All of it, or what has changed.
     pub kind: ListKind,
     /// The lines.
-    pub servers: Vec<Listed>,
+    pub servers: Vec<ListedServer>,
 }
--- a/src/rules/version.rs
+++ b/src/rules/version.rs
@@ -71,7 +71,7 @@
 
 /// Why a document is not proposed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Unproposed {
+pub enum ProposeError {
     /// The process that was asked does not lead.
     NotLeading,
     /// Another is announced and not in force yet.
@@ -89,25 +89,25 @@
     Same(u64),
 }
 
-impl fmt::Display for Unproposed {
+impl fmt::Display for ProposeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unproposed::NotLeading => f.write_str("does not lead"),
-            Unproposed::Underway(number) => {
+            ProposeError::NotLeading => f.write_str("does not lead"),
+            ProposeError::Underway(number) => {
                 write!(f, "version {number} is announced: wait until it is in force, or abort it")
             }
-            Unproposed::Parent { parent, force } => {
+            ProposeError::Parent { parent, force } => {
                 write!(f, "goes on from version {parent}, but version {force} is in force")
             }
-            Unproposed::Wrong(why) => f.write_str(why),
-            Unproposed::Same(number) => write!(f, "says the same as version {number}, which is in force"),
+            ProposeError::Wrong(why) => f.write_str(why),
+            ProposeError::Same(number) => write!(f, "says the same as version {number}, which is in force"),
         }
     }
 }
 
 /// The log's part that tells of rules.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ruled {
+pub struct RulesLog {
     /// The version in force.
     pub force: Option<Version>,
     /// The next one, which all are to accept first.
@@ -118,7 +118,7 @@
     pub past: VecDeque<Past>,
 }
 
-impl Ruled {
+impl RulesLog {
     /// The number in force; 0: none is.
     pub fn force(&self) -> u64 {
         self.force.as_ref().map_or(0, |v| v.number)
@@ -178,7 +178,7 @@
 
     #[test]
     fn of_two_on_one_parent_one_is_announced() {
-        let mut ruled = Ruled::default();
+        let mut ruled = RulesLog::default();
         assert!(ruled.announce(&version(1, 0)));
         assert!(!ruled.announce(&version(2, 0)), "one at a time");
         assert!(ruled.enforce(1) && !ruled.enforce(1));
--- a/src/trace/tracer.rs
+++ b/src/trace/tracer.rs
@@ -45,7 +45,7 @@
     }
 
     /// Sessions or servers that are remembered, whichever are the most.
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_entries(&self) -> usize {
         self.sessions.len().max(self.servers.len())
     }
 
@@ -67,8 +67,8 @@
     /// What the core is told by servers and clients.
     pub fn told(&mut self, now: Micros, input: &Input) {
         match input {
-            Input::Stands { server, .. } => self.heard(now, server),
-            Input::Over { id, server, status, .. } => {
+            Input::Established { server, .. } => self.heard(now, server),
+            Input::Ended { id, server, status, .. } => {
                 if matches!(status, Status::Saturated | Status::Errored | Status::Completed) {
                     self.heard(now, server);
                 }
@@ -81,8 +81,8 @@
             Input::Withdrawn { id, server } if self.sessions.contains_key(id) => {
                 self.push(now, Event::Withdrawn { id: named(*id), server: server.to_string() });
             }
-            Input::Left(id) => self.over(now, *id, None),
-            Input::Open(request, server) => self.opened(now, request, server),
+            Input::ClientLeft(id) => self.over(now, *id, None),
+            Input::ExistingSession(request, server) => self.opened(now, request, server),
             _ => {}
         }
     }
@@ -90,14 +90,14 @@
     /// What the core decides. Of an attempt that is given up what follows tells why.
     pub fn decided(&mut self, now: Micros, effect: &Effect) {
         match effect {
-            Effect::GiveUp(id, _) => self.turned(now, *id, Status::TimedOut),
+            Effect::Withdraw(id, _) => self.turned(now, *id, Status::TimedOut),
             Effect::Rate(id, _, rung) => self.rung(now, *id, *rung),
-            Effect::Plays(id, _) => self.plays(now, *id),
+            Effect::Established(id, _) => self.plays(now, *id),
             Effect::Refused(id, wait) => self.refused(now, *id, *wait),
             Effect::Failed(id, _) => self.failed(now, *id),
             Effect::Ended(id, status) => self.over(now, *id, Some(*status)),
             Effect::Moved(id) => self.moved(now, *id),
-            Effect::Cut(id, server) => {
+            Effect::Release(id, server) => {
                 self.push(now, Event::Released { id: named(*id), server: server.to_string() });
             }
             Effect::SetUp(_) | Effect::Log(_) => {}
--- a/tests/broker.rs
+++ b/tests/broker.rs
@@ -1,6 +1,6 @@
 //! The core without a wire: requests, attempts, outcomes and the rules round the module.
 
-use amberspindle::api::{Effect as Repeat, *};
+use amberspindle::api::{Idempotency, *};
 use std::collections::{BTreeMap, BTreeSet};
 
 use amberspindle::broker::{Broker, Decide, Effect, Input, SetUp};
@@ -24,7 +24,7 @@
         (s.cells, s.racks, s.link_unit_kb, s.rack_kb, s.max_attempts) = (3, 1, 1e5, 3e5, 4);
         (s.tick, s.max_retry_after) = (ms(10), ms(500));
         let class = |effect| Class::new(ms(1000), ms(2000), effect);
-        s.classes = vec![class(Repeat::Unsafe), class(Repeat::Safe)];
+        s.classes = vec![class(Idempotency::Unsafe), class(Idempotency::Safe)];
         let mut core = Core { broker: Broker::new(s, 7), now: ms(1_000_000) };
         let entry = |n| ServerEntry::new(server(n), ServerState::Ready, n);
         core.tell(Input::Servers { kind: ListKind::Complete, servers: (0..servers).map(entry).collect() });
@@ -37,7 +37,7 @@
         let mut told = 0;
         // The end of an attempt is written at once here.
         while told < out.len() {
-            if let Effect::GiveUp(id, server) = &out[told] {
+            if let Effect::Withdraw(id, server) = &out[told] {
                 let written = Input::Withdrawn { id: *id, server: server.clone() };
                 self.broker.handle(self.now, written, &mut out);
             }
@@ -65,12 +65,12 @@
 
     fn over(&mut self, id: u64, at: &ServerId, status: Status) -> Vec<Effect> {
         let (id, server, load) = (SessionId(id), at.clone(), Load::default());
-        self.tell(Input::Over { id, server, status, load })
+        self.tell(Input::Ended { id, server, status, load })
     }
 
     fn stands(&mut self, id: u64, at: &ServerId) -> Vec<Effect> {
         let (id, server) = (SessionId(id), at.clone());
-        self.tell(Input::Stands { id, server, answer: b"answer"[..].into() })
+        self.tell(Input::Established { id, server, answer: b"answer"[..].into() })
     }
 }
 
@@ -85,7 +85,7 @@
 fn answers(effects: &[Effect]) -> Vec<&Effect> {
     effects
         .iter()
-        .filter(|e| matches!(e, Effect::Plays(..) | Effect::Refused(..) | Effect::Failed(..)))
+        .filter(|e| matches!(e, Effect::Established(..) | Effect::Refused(..) | Effect::Failed(..)))
         .collect()
 }
 
@@ -95,7 +95,7 @@
     let set_up = sent(&core.ask(1, CLIP)).remove(0);
     assert_eq!((set_up.attempt, &*set_up.offer, set_up.rung), (0, &b"offer"[..], Some(Rung(1))));
     let out = core.stands(1, &set_up.server);
-    assert_eq!(answers(&out), [&Effect::Plays(SessionId(1), b"answer"[..].into())]);
+    assert_eq!(answers(&out), [&Effect::Established(SessionId(1), b"answer"[..].into())]);
     assert!(answers(&core.pass(ms(5000))).is_empty());
     let out = core.over(1, &set_up.server, Status::Completed);
     assert_eq!(out, [Effect::Ended(SessionId(1), Status::Completed)]);
@@ -124,9 +124,9 @@
     assert!(
         matches!(answers(&out)[..], [Effect::Failed(SessionId(1), why)] if why.may_have_run && why.deadline)
     );
-    assert!(out.contains(&Effect::GiveUp(SessionId(1), first.server.clone())));
+    assert!(out.contains(&Effect::Withdraw(SessionId(1), first.server.clone())));
     let late = core.stands(1, &first.server);
-    assert_eq!(late, [Effect::Cut(SessionId(1), first.server)]);
+    assert_eq!(late, [Effect::Release(SessionId(1), first.server)]);
 }
 
 #[test]
@@ -142,7 +142,7 @@
                 open += 1;
                 assert!(s.wait <= ms(2000));
             }
-            Effect::GiveUp(..) => open -= 1,
+            Effect::Withdraw(..) => open -= 1,
             _ => {}
         }
         assert!((0..=1).contains(&open));
@@ -164,25 +164,25 @@
 fn a_client_that_leaves_gives_the_attempt_up_and_is_owed_nothing() {
     let mut core = Core::new(3);
     let first = sent(&core.ask(1, PAID)).remove(0);
-    let mut out = core.tell(Input::Left(SessionId(1)));
-    assert_eq!(out, [Effect::GiveUp(SessionId(1), first.server.clone())]);
+    let mut out = core.tell(Input::ClientLeft(SessionId(1)));
+    assert_eq!(out, [Effect::Withdraw(SessionId(1), first.server.clone())]);
     out.extend(core.pass(ms(3000)));
     assert!(answers(&out).is_empty());
-    assert_eq!(core.stands(1, &first.server), [Effect::Cut(SessionId(1), first.server)]);
+    assert_eq!(core.stands(1, &first.server), [Effect::Release(SessionId(1), first.server)]);
     // And one that plays is cut at its server.
     let set_up = sent(&core.ask(2, CLIP)).remove(0);
     core.stands(2, &set_up.server);
-    assert_eq!(core.tell(Input::Left(SessionId(2))), [Effect::Cut(SessionId(2), set_up.server)]);
+    assert_eq!(core.tell(Input::ClientLeft(SessionId(2))), [Effect::Release(SessionId(2), set_up.server)]);
 }
 
 #[test]
 fn what_stood_at_a_lost_server_is_over() {
     let mut core = Core::new(1);
     let (open, at) = (Request::new(SessionId(9), Text::from("t"), core.now, 3, 1), server(0));
-    core.tell(Input::Open(open, at.clone()));
-    assert!(core.broker.stands(SessionId(9), &at));
+    core.tell(Input::ExistingSession(open, at.clone()));
+    assert!(core.broker.is_established_at(SessionId(9), &at));
     assert_eq!(
-        core.tell(Input::Lost(at)),
+        core.tell(Input::ServerLost(at)),
         [Effect::Ended(SessionId(9), Status::Reset), Effect::Log("distrust s-0: connection broke".into()),]
     );
 }
@@ -192,10 +192,10 @@
     let mut core = Core::new(1);
     let set_up = sent(&core.ask(1, PAID)).remove(0);
     core.stands(1, &set_up.server);
-    let out = core.tell(Input::End);
-    assert!(out.contains(&Effect::Cut(SessionId(1), set_up.server)));
+    let out = core.tell(Input::Shutdown);
+    assert!(out.contains(&Effect::Release(SessionId(1), set_up.server)));
     assert!(out.contains(&Effect::Ended(SessionId(1), Status::Reset)));
-    assert_eq!((core.broker.standing(), core.broker.unanswered()), (0, 0));
+    assert_eq!((core.broker.established(), core.broker.unanswered()), (0, 0));
 }
 
 #[test]
@@ -216,7 +216,7 @@
     fn decide(&mut self, _: Micros, event: Event, out: &mut Vec<Action>) {
         let ids: Vec<SessionId> = match &event {
             Event::Request(request) => vec![request.id],
-            Event::Outcome { id, .. } | Event::First { id, .. } => vec![*id],
+            Event::Outcome { id, .. } | Event::SetUpDone { id, .. } => vec![*id],
             _ => vec![SessionId(self.0.u64(..40))],
         };
         for id in ids {
@@ -242,7 +242,7 @@
 fn the_rules_hold_round_a_module_that_errs() {
     let mut rng = fastrand::Rng::with_seed(0xbad);
     let module = |seed| -> Box<dyn Decide> { Box::new(Erratic(fastrand::Rng::with_seed(seed))) };
-    let broker = Broker::with(vec![Repeat::Unsafe, Repeat::Safe], 4, 1, Box::new(module));
+    let broker = Broker::with(vec![Idempotency::Unsafe, Idempotency::Safe], 4, 1, Box::new(module));
     let mut core = Core { broker, now: ms(1_000_000) };
     let list = (0..4).map(|n| {
         let state = if n == 3 { ServerState::Draining } else { ServerState::Ready };
@@ -258,7 +258,7 @@
             0 => {
                 left.insert(id);
                 out.remove(&id);
-                core.tell(Input::Left(SessionId(id)))
+                core.tell(Input::ClientLeft(SessionId(id)))
             }
             1..=4 => match out.get(&id).cloned() {
                 None => Vec::new(),
@@ -299,7 +299,7 @@
                     *sends += 1;
                     assert!(*sends <= 4);
                 }
-                Effect::GiveUp(id, at) => {
+                Effect::Withdraw(id, at) => {
                     assert!(out.remove(&id.0).is_none_or(|there| there == at));
                     ran.insert(id.0);
                 }
@@ -308,7 +308,9 @@
                     assert!(id.0 % 2 == 1 || clean, "a paid session that may have run is refused");
                     assert!(answered.insert(id.0), "two answers");
                 }
-                Effect::Plays(id, _) | Effect::Failed(id, _) => assert!(answered.insert(id.0), "two answers"),
+                Effect::Established(id, _) | Effect::Failed(id, _) => {
+                    assert!(answered.insert(id.0), "two answers")
+                }
                 Effect::Log(_) => panics += 1,
                 _ => {}
             }
@@ -324,19 +326,19 @@
 fn a_paid_request_sent_again_under_its_id_after_it_may_have_run_is_not_set_up_again() {
     let mut core = Core::new(3);
     let first = sent(&core.ask(1, PAID)).remove(0);
-    assert_eq!(core.tell(Input::Left(SessionId(1))), [Effect::GiveUp(SessionId(1), first.server)]);
+    assert_eq!(core.tell(Input::ClientLeft(SessionId(1))), [Effect::Withdraw(SessionId(1), first.server)]);
     let mut out = core.ask(1, PAID);
     out.extend(core.pass(ms(3000)));
     assert!(sent(&out).is_empty(), "it was set up again");
     assert!(matches!(answers(&out)[..], [Effect::Failed(SessionId(1), why)] if why.may_have_run));
     // What may be repeated is, and so is what never ran.
     sent(&core.ask(2, CLIP));
-    core.tell(Input::Left(SessionId(2)));
+    core.tell(Input::ClientLeft(SessionId(2)));
     assert_eq!(sent(&core.ask(2, CLIP)).len(), 1);
-    core.tell(Input::Left(SessionId(2)));
+    core.tell(Input::ClientLeft(SessionId(2)));
     let mut none = Core::new(0);
     none.ask(3, PAID);
-    none.tell(Input::Left(SessionId(3)));
+    none.tell(Input::ClientLeft(SessionId(3)));
     let mut again = none.ask(3, PAID);
     again.extend(none.pass(ms(3000)));
     assert!(matches!(answers(&again)[..], [Effect::Refused(SessionId(3), _)]));
@@ -356,7 +358,7 @@
     // One that was given up is released, once, and remembered for a while only.
     for id in [2, 3] {
         let set_up = sent(&core.ask(id, PAID)).remove(0);
-        core.tell(Input::Left(SessionId(id)));
+        core.tell(Input::ClientLeft(SessionId(id)));
         core.pass(ms(29_000 + 2000 * (id - 2)));
         let late = core.stands(id, &set_up.server);
         assert_eq!(late.len(), usize::from(id == 2), "{late:?}");
@@ -377,14 +379,14 @@
     assert_eq!(to.len(), 3);
     let open = |id: u64| {
         let request = Request::new(SessionId(id), Text::from("t"), Micros(0), 3, 1);
-        Input::Open(request, server(0))
+        Input::ExistingSession(request, server(0))
     };
     for id in 10..17 {
         assert!(answers(&core.tell(open(id))).is_empty());
     }
     assert_eq!(core.tell(open(17)), [Effect::Ended(SessionId(17), Status::Reset)]);
     assert_eq!(core.ask(3, PAID), [refused(3)]);
-    core.tell(Input::Left(SessionId(16)));
+    core.tell(Input::ClientLeft(SessionId(16)));
     core.stands(0, &to[0].server);
     assert_eq!(sent(&core.ask(4, PAID)).len(), 1, "a session that stands needs its description no more");
     assert_eq!(core.ask(5, CLIP), [refused(5)]);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -17,22 +17,22 @@
     s.link_unit_kb = 4000.0;
     s.rack_kb = 12000.0;
     s.kind_streams = vec![30];
-    s.join = 0.3;
-    s.stall = 7.0;
+    s.shared_viewer_cost = 0.3;
+    s.shortfall_penalty = 7.0;
     s.switch_s = 0.5;
-    s.see = ms(600);
-    s.tell = ms(3000);
+    s.note_delay = ms(600);
+    s.load_note_interval = ms(3000);
     s.tick = ms(10);
     s.max_attempts = 4;
     s.uplink_reported = true;
-    s.cold = ms(10_000);
-    s.cold_from = 0.4;
-    s.fall_multiple = 2.0;
-    s.fall = ms(2000);
+    s.warm_up = ms(10_000);
+    s.initial_capacity = 0.4;
+    s.overload_factor = 2.0;
+    s.overload_window = ms(2000);
     s.drain_grace = ms(1000);
-    let mut live = Class::new(ms(1000), ms(4000), Effect::Safe);
+    let mut live = Class::new(ms(1000), ms(4000), Idempotency::Safe);
     live.live = true;
-    s.classes = vec![live, Class::new(ms(1000), ms(4000), Effect::Safe)];
+    s.classes = vec![live, Class::new(ms(1000), ms(4000), Idempotency::Safe)];
     s
 }
 
@@ -43,23 +43,28 @@
     ServerId::new(&format!("10.0.0.{n}:80"))
 }
 
-pub struct Front {
+pub struct ModuleHarness {
     pub brain: Brain,
     pub now: Micros,
     pub out: Vec<Action>,
     timers: Vec<Micros>,
 }
 
-impl Front {
+impl ModuleHarness {
     /// A front that knows `servers` warm servers, one a cell.
-    pub fn new(settings: Settings, servers: u32) -> Front {
-        let mut front = Front::bare(settings, 1);
+    pub fn new(settings: Settings, servers: u32) -> ModuleHarness {
+        let mut front = ModuleHarness::bare(settings, 1);
         front.list((0..servers).map(|n| ServerEntry::new(server(n), ServerState::Ready, n)).collect());
         front
     }
 
-    pub fn bare(settings: Settings, seed: u64) -> Front {
-        Front { brain: Brain::new(settings, seed), now: ms(1_000_000), out: Vec::new(), timers: Vec::new() }
+    pub fn bare(settings: Settings, seed: u64) -> ModuleHarness {
+        ModuleHarness {
+            brain: Brain::new(settings, seed),
+            now: ms(1_000_000),
+            out: Vec::new(),
+            timers: Vec::new(),
+        }
     }
 
     /// Hands an event over; gives what it led to.
@@ -88,7 +93,7 @@
     }
 
     pub fn list(&mut self, servers: Vec<ServerEntry>) -> Vec<Action> {
-        self.tell(Event::Members { kind: ListKind::Complete, servers })
+        self.tell(Event::ServerList { kind: ListKind::Complete, servers })
     }
 
     pub fn request(&self, id: u64, class: usize, title: &str) -> Request {
@@ -112,7 +117,7 @@
     }
 
     pub fn first(&mut self, id: u64, to: &ServerId) -> Vec<Action> {
-        self.tell(Event::First { id: SessionId(id), attempt: 0, server: to.clone(), took: ms(100) })
+        self.tell(Event::SetUpDone { id: SessionId(id), attempt: 0, server: to.clone(), took: ms(100) })
     }
 
     pub fn note(&mut self, id: u64, at: &ServerId, note: Note) -> Vec<Action> {
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -54,16 +54,16 @@
 fn day_settings(day: Day) -> Settings {
     let mut s = settings();
     (s.link_unit_kb, s.rack_kb) = (day.link_kb, day.link_kb * 5.0);
-    (s.cross_zone_price, s.handshake_price, s.guard) = (0.1, 0.04, 0.97);
-    s.fronts = 3;
+    (s.cross_zone_price, s.handshake_price, s.link_limit) = (0.1, 0.04, 0.97);
+    s.broker_count = 3;
     s.budget = Some(RetryBudget { floor: 3.0, ratio: 0.3, span: ms(5000) });
     let class = |effect| Class::new(ms(day.aim), ms(day.deadline), effect);
-    let mut live = class(Effect::Safe);
+    let mut live = class(Idempotency::Safe);
     live.live = true;
-    let keyed = Effect::Keyed { scope: KeyScope::Zone, window: ms(700) };
-    let mut seated = class(Effect::Safe);
+    let keyed = Idempotency::Keyed { scope: KeyScope::Zone, window: ms(700) };
+    let mut seated = class(Idempotency::Safe);
     (seated.seats, seated.floor) = (Some(3), Rung(1));
-    s.classes = vec![live, class(Effect::Safe), class(Effect::Unsafe), class(keyed), seated];
+    s.classes = vec![live, class(Idempotency::Safe), class(Idempotency::Unsafe), class(keyed), seated];
     s
 }
 
@@ -83,7 +83,7 @@
 /// Plays a day; gives a digest of its actions, the set-ups sent and the final answers.
 fn play(day: Day) -> (u64, usize, usize) {
     let mut rng = fastrand::Rng::with_seed(day.seed);
-    let mut front = Front::bare(day_settings(day), day.seed);
+    let mut front = ModuleHarness::bare(day_settings(day), day.seed);
     front.list((0..SERVERS).map(|n| entry(n, ServerState::Ready)).collect());
     let mut outs: Vec<Out> = Vec::new();
     let mut seen = 0;
@@ -97,7 +97,7 @@
             }
             80..92 => tell_fullness(&mut front, &mut rng),
             92..96 => {
-                front.tell(Event::Gone(SessionId(rng.u64(0..=u64::from(n)))));
+                front.tell(Event::ViewerLeft(SessionId(rng.u64(0..=u64::from(n)))));
             }
             96..98 => change_list(&mut front, &mut rng),
             98 if rng.u32(0..10) == 0 => new_settings(&mut front, &mut rng, day),
@@ -112,7 +112,7 @@
     (digest(&front.out), sends(&front.out).len(), front.out.iter().filter(finals).count())
 }
 
-fn ask(front: &mut Front, rng: &mut fastrand::Rng, day: Day, id: u64) {
+fn ask(front: &mut ModuleHarness, rng: &mut fastrand::Rng, day: Day, id: u64) {
     let class = [LIVE, CLIP, PAID, KEYED, SEATED][rng.usize(0..5)];
     // Low numbers are the popular titles.
     let title = rng.u64(0..day.titles).min(rng.u64(0..day.titles));
@@ -123,7 +123,7 @@
     front.tell(Event::Request(request));
 }
 
-fn end(front: &mut Front, rng: &mut fastrand::Rng, day: Day, outs: &mut Vec<Out>, k: usize) {
+fn end(front: &mut ModuleHarness, rng: &mut fastrand::Rng, day: Day, outs: &mut Vec<Out>, k: usize) {
     let (id, to) = (outs[k].id, outs[k].to.clone());
     if outs[k].plays {
         outs.swap_remove(k);
@@ -142,7 +142,7 @@
     front.outcome(id, &to, status, rng.u32(0..10) == 0);
 }
 
-fn tell_fullness(front: &mut Front, rng: &mut fastrand::Rng) {
+fn tell_fullness(front: &mut ModuleHarness, rng: &mut fastrand::Rng) {
     let (to, full) = (server(rng.u32(0..SERVERS)), rng.f64() * 1.4);
     let note = match rng.u32(0..10) {
         0 => Note::Uplink(full),
@@ -152,18 +152,19 @@
     front.note(rng.u64(0..u64::from(EVENTS)), &to, note);
 }
 
-fn change_list(front: &mut Front, rng: &mut fastrand::Rng) {
+fn change_list(front: &mut ModuleHarness, rng: &mut fastrand::Rng) {
     let states = [ServerState::Ready, ServerState::Ready, ServerState::Draining, ServerState::Gone];
     let mut entry = entry(rng.u32(0..SERVERS), states[rng.usize(0..states.len())]);
     entry.up_since = rng.bool().then_some(front.now);
-    front.tell(Event::Members { kind: ListKind::Changes, servers: vec![entry] });
+    front.tell(Event::ServerList { kind: ListKind::Changes, servers: vec![entry] });
 }
 
-fn new_settings(front: &mut Front, rng: &mut fastrand::Rng, day: Day) {
+fn new_settings(front: &mut ModuleHarness, rng: &mut fastrand::Rng, day: Day) {
     let mut s = day_settings(day);
     s.classes[SEATED].seats = [None, Some(1), Some(6)][rng.usize(0..3)];
     s.classes[CLIP].floor = Rung(rng.usize(0..2));
-    s.classes[KEYED].effect = Effect::Keyed { scope: KeyScope::Cell, window: ms(rng.u64(200..3000)) };
+    s.classes[KEYED].idempotency =
+        Idempotency::Keyed { scope: KeyScope::Cell, window: ms(rng.u64(200..3000)) };
     front.tell(Event::Settings(Box::new(s)));
 }
 
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
 fn vars(program: &Program) -> BTreeMap<String, u64> {
     let text = program.call("vars\n");
@@ -25,9 +25,11 @@
 /// servers saw. Those that are withdrawn while nothing was answered count as none.
 #[test]
 fn every_request_counts_once_and_every_attempt_that_a_server_saw() {
-    let edges: Vec<Edge> =
-        [Manner::Answers, Manner::Full, Manner::Fails].into_iter().map(Edge::start).collect();
-    let program = Program::platform_more(
+    let edges: Vec<Edge> = [EdgeBehaviour::Answers, EdgeBehaviour::Full, EdgeBehaviour::Fails]
+        .into_iter()
+        .map(Edge::start)
+        .collect();
+    let program = Program::platform_with_config(
         &edges.iter().collect::<Vec<_>>(),
         4_000.0,
         &json!({"console": "127.0.0.1:0"}),
@@ -43,15 +45,18 @@
     for id in 1..=80_u64 {
         let class = if rng.bool() { "paid" } else { "clip" };
         // At the end all are full: those are refused.
-        let manners =
-            if id <= 60 { [Manner::Answers, Manner::Full, Manner::Fails] } else { [Manner::Full; 3] };
-        edges[rng.usize(0..3)].behave(manners[rng.usize(0..3)]);
+        let manners = if id <= 60 {
+            [EdgeBehaviour::Answers, EdgeBehaviour::Full, EdgeBehaviour::Fails]
+        } else {
+            [EdgeBehaviour::Full; 3]
+        };
+        edges[rng.usize(0..3)].set_behaviour(manners[rng.usize(0..3)]);
         if id == 61 {
-            edges.iter().for_each(|edge| edge.behave(Manner::Full));
+            edges.iter().for_each(|edge| edge.set_behaviour(EdgeBehaviour::Full));
         }
         let mut stream = program.connect("viewer");
         // Some ask for longer than any class waits: they fail at the door.
-        ask_for(&mut stream, id, class, if rng.usize(0..10) == 0 { 90_000 } else { 3_900 }, class);
+        send_set_up(&mut stream, id, class, if rng.usize(0..10) == 0 { 90_000 } else { 3_900 }, class);
         asked.push((class, stream));
     }
     for (class, stream) in asked {
@@ -81,12 +86,13 @@
 
 #[test]
 fn a_request_that_is_withdrawn_counts_as_none_and_its_attempt_counts() {
-    let edge = Edge::start(Manner::Silent);
+    let edge = Edge::start(EdgeBehaviour::Silent);
     let more = json!({"console": "127.0.0.1:0"});
-    let program = Program::platform_more(&[&edge], LONG, &more, &["viewer", "console"]);
+    let program =
+        Program::platform_with_config(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     let mut stream = program.connect("viewer");
-    ask_for(&mut stream, 1, "paid", 50_000, "paid");
-    edge.nth_set_up(1);
+    send_set_up(&mut stream, 1, "paid", 50_000, "paid");
+    edge.wait_for_set_up(1);
     assert_eq!(vars(&program)["open_requests"], 1);
     drop(stream);
     edge.released(amberspindle::api::SessionId(1), 1);
--- a/tests/letting_go.rs
+++ b/tests/letting_go.rs
@@ -9,7 +9,7 @@
 use support::crossing::*;
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
 fn test(stream: &mut TcpStream) {
     stream.write_all(ping().as_bytes()).unwrap();
@@ -24,15 +24,15 @@
 /// between. Seen to fail before: the request lay unread while the connection was closed over it.
 #[test]
 fn a_request_that_came_before_an_idle_connection_was_closed_is_answered() {
-    let edge = Edge::start(Manner::Answers);
-    let program = Program::platform(&[&edge], LONG);
+    let edge = Edge::start(EdgeBehaviour::Answers);
+    let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     for (id, spoke) in [(1, true), (2, false)] {
         let mut client = program.connect("viewer");
         if spoke {
             test(&mut client);
         }
         program.while_stopped(|| {
-            ask_for(&mut client, id, "paid", 50_000, "crosses");
+            send_set_up(&mut client, id, "paid", 50_000, "crosses");
             // Idle connections have 2.25 s, silent ones 2 s, both are looked at each 0.25 s.
             pass(2_800);
         });
@@ -43,16 +43,17 @@
 /// The same where room is made for others.
 #[test]
 fn a_request_that_came_before_its_connection_made_room_is_answered() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let more = json!({"limits": {"sockets": 32}, "console": "127.0.0.1:0"});
-    let program = Program::platform_more(&[&edge], LONG, &more, &["viewer", "console"]);
+    let program =
+        Program::platform_with_config(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     let mut clients: Vec<TcpStream> = (0..9).map(|_| program.connect("viewer")).collect();
     for client in &mut clients {
         test(client);
     }
     program.while_stopped(|| {
         // The oldest is the first that would go; the rest of the room and more is asked for behind it.
-        ask_for(&mut clients[0], 1, "paid", 50_000, "crosses");
+        send_set_up(&mut clients[0], 1, "paid", 50_000, "crosses");
         clients.extend((0..4).map(|_| program.connect("viewer")));
     });
     assert_eq!(final_answer(&mut clients[0], 1).expect("closed over a request")["type"], "answer");
@@ -62,14 +63,14 @@
 /// played on at its server for nobody.
 #[test]
 fn a_session_whose_client_went_before_its_answer_is_released() {
-    let edge = Edge::start(Manner::Answers);
-    let program = Program::platform(&[&edge], LONG);
+    let edge = Edge::start(EdgeBehaviour::Answers);
+    let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut client = program.connect("viewer");
-    edge.behave(Manner::Silent);
-    ask_for(&mut client, 1, "paid", 50_000, "gone");
-    let id = edge.nth_set_up(1);
+    edge.set_behaviour(EdgeBehaviour::Silent);
+    send_set_up(&mut client, 1, "paid", 50_000, "gone");
+    let id = edge.wait_for_set_up(1);
     program.while_stopped(|| {
-        edge.answer_now(id);
+        edge.send_answer(id);
         drop(client);
     });
     edge.released(id, 1);
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -6,9 +6,9 @@
 use amberspindle::config::Config;
 use amberspindle::message::binary::{Builder, code};
 use amberspindle::message::{Kind, cause};
-use amberspindle::node::{Front, Node};
-use amberspindle::platform::links::{Closed, Command, ConnId};
-use amberspindle::roster::{Listed, News};
+use amberspindle::node::{Node, Protocol};
+use amberspindle::platform::links::{Command, ConnId, ConnectionEnd};
+use amberspindle::roster::{ListUpdate, ListedServer};
 use serde_json::json;
 use support::{answer, release, settings};
 
@@ -19,8 +19,9 @@
 }
 
 const ID: SessionId = SessionId(0x9b1f_03aa_5c7e_2d41);
-const UNSENT: Closed = Closed::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: false };
-const RESET: Closed = Closed::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: true };
+const UNSENT: ConnectionEnd =
+    ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: false };
+const RESET: ConnectionEnd = ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: true };
 
 impl World {
     /// Servers send notes each second.
@@ -34,13 +35,13 @@
 
     fn list(&mut self, id: &str, state: ServerState, port: u16) {
         let entry = ServerEntry::new(ServerId::new(id), state, 0);
-        let servers = vec![Listed::new(entry, ([127, 0, 0, 1], port).into())];
-        self.node.news(self.now, News { kind: ListKind::Changes, servers }, &mut self.out);
+        let servers = vec![ListedServer::new(entry, ([127, 0, 0, 1], port).into())];
+        self.node.news(self.now, ListUpdate { kind: ListKind::Changes, servers }, &mut self.out);
     }
 
     fn viewer(&mut self) -> ConnId {
         let conn = self.node.number();
-        self.node.accepted(self.now, conn, Front::Platform);
+        self.node.accepted(self.now, conn, Protocol::Platform);
         conn
     }
 
@@ -48,7 +49,7 @@
         self.node.bytes(self.now, conn, bytes, &mut self.out);
     }
 
-    fn closed(&mut self, conn: ConnId, how: &Closed) {
+    fn closed(&mut self, conn: ConnId, how: &ConnectionEnd) {
         self.node.closed(self.now, conn, how, &mut self.out);
     }
 
@@ -86,14 +87,14 @@
     /// Turns down every connection that was asked for.
     fn refuse_all(&mut self) {
         for conn in self.dials() {
-            self.closed(conn, &Closed::Refused);
+            self.closed(conn, &ConnectionEnd::Refused);
         }
     }
 
     /// What was written on a connection.
     fn written(&self, to: ConnId) -> String {
         let write = |c: &Command| match c {
-            Command::Write(conn, bytes, _) | Command::WriteEnd(conn, bytes) if *conn == to => {
+            Command::Write(conn, bytes, _) | Command::WriteSessionEnd(conn, bytes) if *conn == to => {
                 Some(String::from_utf8_lossy(bytes).into_owned())
             }
             _ => None,
@@ -134,13 +135,13 @@
     /// Connections that are to be closed, in order.
     fn closing(&self) -> Vec<(ConnId, &'static str)> {
         let close = |c: &Command| match c {
-            Command::Close(conn, reason) | Command::LetGo(conn, reason) => Some((*conn, *reason)),
+            Command::Close(conn, reason) | Command::CloseIfQuiet(conn, reason) => Some((*conn, *reason)),
             Command::Dial(..)
             | Command::Write(..)
-            | Command::WriteEnd(..)
+            | Command::WriteSessionEnd(..)
             | Command::Withdraw(..)
-            | Command::Leave(..)
-            | Command::Cut(..) => None,
+            | Command::LingeringClose(..)
+            | Command::Abort(..) => None,
         };
         self.out.iter().filter_map(close).collect()
     }
@@ -197,7 +198,7 @@
 fn what_a_complete_list_leaves_out_is_lost() {
     let mut world = World::new();
     let (viewer, _) = world.playing();
-    world.node.news(world.now, News { kind: ListKind::Complete, servers: Vec::new() }, &mut world.out);
+    world.node.news(world.now, ListUpdate { kind: ListKind::Complete, servers: Vec::new() }, &mut world.out);
     assert!(world.ended(viewer));
 }
 
@@ -207,7 +208,7 @@
     let (viewer, _) = world.playing();
     world.pass(6500);
     let check = world.dials()[0];
-    world.closed(check, &Closed::NoAnswer);
+    world.closed(check, &ConnectionEnd::NoAnswer);
     assert!(world.ended(viewer));
 }
 
@@ -245,7 +246,7 @@
     world.closed(check, &UNSENT);
     world.pass(1000);
     let check = world.dials()[0];
-    world.closed(check, &Closed::Refused);
+    world.closed(check, &ConnectionEnd::Refused);
     assert!(world.ended(viewer));
 }
 
@@ -258,7 +259,7 @@
     world.pass(6500);
     let check = world.dials()[0];
     world.node.opened(world.now, check, &mut world.out);
-    assert!(world.out.contains(&Command::Leave(edge, "replaced")));
+    assert!(world.out.contains(&Command::LingeringClose(edge, "replaced")));
     // What is new goes out on the new connection.
     let other = SessionId(7);
     world.ask_as(viewer, other);
@@ -300,7 +301,7 @@
     assert!(world.written(old).contains("paid"));
     world.list("s-0", ServerState::Ready, 2);
     assert!(world.ended(viewer), "what stood there is over");
-    assert!(world.out.contains(&Command::Cut(old, "moved")));
+    assert!(world.out.contains(&Command::Abort(old, "moved")));
     world.bytes(old, &answer(paid, "offer").finish().unwrap());
     assert!(!world.written(viewer).contains("0000000000000007"), "nothing more is heard of the old one");
     world.closed(old, &UNSENT);
@@ -506,7 +507,7 @@
     let good = |id| answer(id, "offer").finish().unwrap();
     world.bytes(edge, &[good(ID), vec![0, 3, 9, 9, 9], good(SessionId(2))].concat());
     assert_eq!(world.written(viewer).matches("answer").count(), 1, "what came before it counts");
-    assert!(world.out.contains(&Command::Cut(edge, "bad-length")));
+    assert!(world.out.contains(&Command::Abort(edge, "bad-length")));
     world.out.clear();
     world.bytes(edge, &good(SessionId(3)));
     assert!(world.out.is_empty(), "nothing more is read there");
@@ -529,14 +530,14 @@
     let whole = answer(ID, "offer").finish().unwrap();
     world.bytes(edge, &whole[..whole.len() - 1]);
     world.pass(300);
-    assert!(!world.out.contains(&Command::Cut(edge, "unfinished")));
+    assert!(!world.out.contains(&Command::Abort(edge, "unfinished")));
     world.pass(500);
-    assert!(world.out.contains(&Command::Cut(edge, "unfinished")));
+    assert!(world.out.contains(&Command::Abort(edge, "unfinished")));
     world.closed(edge, &UNSENT);
     let next = world.dials()[0];
     world.node.opened(world.now, next, &mut world.out);
     world.bytes(next, &Builder::new(Kind::Answer, ID).with(code::DESCRIPTION, b"").finish().unwrap());
-    assert!(world.out.contains(&Command::Cut(next, "bad-field")));
+    assert!(world.out.contains(&Command::Abort(next, "bad-field")));
     assert!(!world.written(viewer).contains("answer"));
 }
 
@@ -549,8 +550,8 @@
         let (server, id) = (format!("s-{n}"), SessionId(n));
         let (entry, address) =
             (ServerEntry::new(ServerId::new(&server), ServerState::Ready, 0), [127, 0, 0, 1]);
-        let servers = vec![Listed::new(entry, (address, 1 + (n % 7) as u16).into())];
-        world.node.news(world.now, News { kind: ListKind::Complete, servers }, &mut world.out);
+        let servers = vec![ListedServer::new(entry, (address, 1 + (n % 7) as u16).into())];
+        world.node.news(world.now, ListUpdate { kind: ListKind::Complete, servers }, &mut world.out);
         let viewer = world.viewer();
         let line = json!({"type": "setup", "id": format!("{:016x}", id.0), "sdp": "offer", "fields":
             {"class": "clip", "left": 4000, "key": format!("k{n}"), "extras": "home:0;copies:3;top:1"}});
@@ -572,7 +573,7 @@
         world.out.clear();
     }
     // Titles fade within 100 s, 250 of these.
-    assert!(world.node.remembered() < 300, "{}", world.node.remembered());
+    assert!(world.node.tracked_entries() < 300, "{}", world.node.tracked_entries());
 }
 
 /// Seen on a recorded day: a give-up and the next attempt left in the same moment on two connections, the attempt
@@ -623,8 +624,8 @@
     let (viewer, old) = world.playing();
     let entry = ServerEntry::new(ServerId::new("s-0"), ServerState::Ready, 0);
     let paths = amberspindle::roster::Paths { set_up: "/whep/{title}".into(), end: None, events: None };
-    let listed = Listed { entry, address: ([127, 0, 0, 1], 1).into(), paths: Some(paths) };
-    let news = News { kind: ListKind::Changes, servers: vec![listed] };
+    let listed = ListedServer { entry, address: ([127, 0, 0, 1], 1).into(), paths: Some(paths) };
+    let news = ListUpdate { kind: ListKind::Changes, servers: vec![listed] };
     world.node.news(world.now, news, &mut world.out);
     assert!(world.ended(viewer), "what stood there is over");
     // The module leaves a server alone for a while whose sessions were lost.
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
 struct Viewer {
     stream: TcpStream,
@@ -53,17 +53,17 @@
 
 #[test]
 fn each_step_of_a_request_is_told_where_that_is_asked_for() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let told = |program: &Program| -> Vec<&'static str> {
         let log = program.log.0.lock().unwrap();
         log.iter().filter_map(|line| Record::read(line)).map(|r| r.event.name()).collect()
     };
-    let program = Program::platform_with(&[&edge], LONG, &["--trace", "100"]);
+    let program = Program::platform_with_options(&[&edge], UNREACHED_DEADLINE_MS, &["--trace", "100"]);
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "paid", "");
     assert_eq!(viewer.hear().unwrap()["type"], "answer");
     viewer.say(json!({"type": "release", "id": A, "fields": {}, "cause": 34}));
-    program.logged("session.released");
+    program.wait_for_log("session.released");
     let steps = [
         "session.asked",
         "session.sent",
@@ -76,7 +76,7 @@
     ];
     assert_eq!(told(&program), steps);
 
-    let program = Program::platform(&[&edge], LONG);
+    let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "paid", "");
     assert_eq!(viewer.hear().unwrap()["type"], "answer");
@@ -93,8 +93,8 @@
 
 #[test]
 fn a_session_stands_plays_and_ends() {
-    let edge = Edge::start(Manner::Answers);
-    let program = Program::platform(&[&edge], LONG);
+    let edge = Edge::start(EdgeBehaviour::Answers);
+    let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut viewer = Viewer::new(&program);
     viewer.say(json!({"type": "ping", "id": B, "fields": {}, "cause": 0}));
     assert_eq!(viewer.hear().unwrap(), json!({"type": "pong", "id": B, "fields": {}, "cause": 1}));
@@ -112,8 +112,8 @@
 
 #[test]
 fn a_session_handed_over_is_attended_and_its_end_passed_on() {
-    let edge = Edge::start(Manner::Answers);
-    let program = Program::platform(&[&edge], LONG);
+    let edge = Edge::start(EdgeBehaviour::Answers);
+    let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "clip", ";at:s-0");
     // The broker opens a connection for the server's news; a set-up shows that it is up.
@@ -127,8 +127,8 @@
 
 #[test]
 fn refusals_and_failures_have_their_causes() {
-    let edge = Edge::start(Manner::Fails);
-    let program = Program::platform(&[&edge], LONG);
+    let edge = Edge::start(EdgeBehaviour::Fails);
+    let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "paid", "");
     assert_eq!(viewer.hear().unwrap()["cause"], 47, "it may have run");
@@ -141,7 +141,7 @@
 
 #[test]
 fn a_connection_that_makes_no_sense_ends_with_its_code_and_the_process_goes_on() {
-    let program = Program::platform(&[], LONG);
+    let program = Program::platform(&[], UNREACHED_DEADLINE_MS);
     for (bytes, reason) in [
         (&b"hello\n"[..], "bad-json"),
         (b"{\"type\":\"dance\",\"id\":\"9b1f03aa5c7e2d41\"}\n", "unknown-type"),
@@ -154,7 +154,7 @@
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest);
         assert!(rest.is_empty());
-        program.logged(&format!("reason={reason}"));
+        program.wait_for_log(&format!("reason={reason}"));
     }
     let mut viewer = Viewer::new(&program);
     viewer.say(json!({"type": "ping", "id": B, "fields": {}}));
@@ -164,7 +164,7 @@
 /// Guards against a close that resets the connection and with it what was written before: unread input does.
 #[test]
 fn an_answer_survives_the_close_that_follows_it() {
-    let program = Program::platform(&[], LONG);
+    let program = Program::platform(&[], UNREACHED_DEADLINE_MS);
     let mut viewer = Viewer::new(&program);
     let mut sender = viewer.stream.try_clone().unwrap();
     let ping = json!({"type": "ping", "id": B, "fields": {}}).to_string();
@@ -176,18 +176,18 @@
 
 #[test]
 fn what_was_taken_is_answered_after_sigterm() {
-    let edge = Edge::start(Manner::Silent);
-    let program = Program::platform(&[&edge], LONG);
+    let edge = Edge::start(EdgeBehaviour::Silent);
+    let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "paid", "");
-    edge.nth_set_up(1);
+    edge.wait_for_set_up(1);
     let mut late = Viewer::new(&program);
     program.terminate();
-    program.logged("stopping");
+    program.wait_for_log("stopping");
     // Requests keep coming for a while, and tests tell clients to go elsewhere.
     late.say(json!({"type": "ping", "id": B, "fields": {}}));
     assert_eq!(late.hear().unwrap()["cause"], 0);
-    edge.answer_now(id(A));
+    edge.send_answer(id(A));
     assert_eq!(viewer.hear().unwrap()["type"], "answer");
     edge.say(release(id(A), cause::NORMAL));
     assert_eq!(viewer.hear().unwrap()["type"], "release");
@@ -205,7 +205,7 @@
     /// A configuration that names it, with the events of the start.
     fn config(&self, known: &Value) -> String {
         let board = self.0.local_addr().unwrap().to_string();
-        json!({"name": "n1", "listen": "127.0.0.1:0", "board": board, "known": known, "settings": settings(LONG)})
+        json!({"name": "n1", "listen": "127.0.0.1:0", "board": board, "known": known, "settings": settings(UNREACHED_DEADLINE_MS)})
             .to_string()
     }
 
@@ -220,7 +220,7 @@
     /// The next time it is asked: the connection, and the number of the last event that was heard.
     fn asked(&self) -> (TcpStream, u64) {
         let (stream, _) = self.0.accept().unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let lines = BufReader::new(stream.try_clone().unwrap()).lines();
         let head: Vec<String> = lines.map_while(Result::ok).take_while(|l| !l.is_empty()).collect();
         assert!(head[0].starts_with("GET /board/poll "), "{head:?}");
@@ -237,7 +237,7 @@
 /// A board that breaks off is asked anew, from the last event that was heard.
 #[test]
 fn the_board_is_followed_and_asked_anew_after_a_break() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let board = Board::new();
     let program = board.start(&json!({"rev": 4, "notices": []}));
     let (mut first, last) = board.asked();
@@ -256,16 +256,16 @@
 /// that is wound back, and against a reload that touches what waits or plays or that is lost in another one.
 #[test]
 fn a_new_configuration_is_taken_in_while_all_goes_on() {
-    let edge = Edge::start(Manner::Silent);
+    let edge = Edge::start(EdgeBehaviour::Silent);
     let (board, next) = (Board::new(), Board::new());
     let program = board.start(&known(&[&edge]));
     let _first = board.asked();
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "paid", "");
-    edge.nth_set_up(1);
+    edge.wait_for_set_up(1);
     program.files.write("board.json", "{");
     program.hang_up();
-    program.logged("reload refused problem=LB_CONFIG");
+    program.wait_for_log("reload refused problem=LB_CONFIG");
     // The new file tells the list anew under the old number, without the server: that is no news.
     let mut wound = known(&[]);
     wound["notices"][0]["rev"] = json!(1);
@@ -273,18 +273,18 @@
     program.hang_up();
     let (_second, last) = next.asked();
     assert_eq!(last, 1, "asked at once, from where the list stands");
-    program.logged("reason=moved last=1");
-    edge.answer_now(id(A));
+    program.wait_for_log("reason=moved last=1");
+    edge.send_answer(id(A));
     assert_eq!(viewer.hear().unwrap()["type"], "answer");
     // A set-up after it, and a reload while the program stops.
     viewer.set_up(B, "clip", "");
-    edge.nth_set_up(2);
+    edge.wait_for_set_up(2);
     program.terminate();
-    program.logged("stopping");
+    program.wait_for_log("stopping");
     program.files.write("board.json", &board.config(&wound));
     program.hang_up();
     assert_eq!(board.asked().1, 1);
-    edge.answer_now(id(B));
+    edge.send_answer(id(B));
     assert_eq!(viewer.hear().unwrap()["type"], "answer");
     edge.say(release(id(A), cause::NORMAL));
     edge.say(release(id(B), cause::NORMAL));
@@ -294,9 +294,9 @@
 /// A fixed list in an operator's file is taken as a whole when it has changed.
 #[test]
 fn a_fixed_list_is_taken_in_anew() {
-    let (old, new) = (Edge::start(Manner::Answers), Edge::start(Manner::Answers));
+    let (old, new) = (Edge::start(EdgeBehaviour::Answers), Edge::start(EdgeBehaviour::Answers));
     let text = |edge: &Edge| {
-        let settings = toml::to_string(&json!({"settings": settings(LONG)})).unwrap();
+        let settings = toml::to_string(&json!({"settings": settings(UNREACHED_DEADLINE_MS)})).unwrap();
         let address = edge.address;
         format!(
             "[platform]\nlisten = \"127.0.0.1:0\"\n[[server]]\nid = \"s-{}\"\naddress = \"{address}\"\ncell = 0\n{settings}",
@@ -310,7 +310,7 @@
     let program = Program::start(command, files, &["viewer"]);
     program.files.write("operator.toml", &text(&new));
     program.hang_up();
-    program.logged("reloaded");
+    program.wait_for_log("reloaded");
     let mut viewer = Viewer::new(&program);
     viewer.set_up(A, "clip", "");
     assert_eq!(viewer.hear().unwrap()["type"], "answer");
@@ -343,7 +343,7 @@
 
 #[test]
 fn a_bad_configuration_ends_with_one_line_that_names_the_field() {
-    let whole = json!({"name": "n", "listen": "127.0.0.1:0", "settings": settings(LONG)});
+    let whole = json!({"name": "n", "listen": "127.0.0.1:0", "settings": settings(UNREACHED_DEADLINE_MS)});
     let with = |path: &str, value: Value| {
         let mut config = whole.clone();
         *config.pointer_mut(path).unwrap() = value;
--- a/tests/quorum.rs
+++ b/tests/quorum.rs
@@ -6,25 +6,27 @@
 use amberspindle::api::Micros;
 use amberspindle::config::Config;
 use amberspindle::quorum::book::Change;
-use amberspindle::quorum::council::Unreplaced;
+use amberspindle::quorum::council::ReplaceError;
 use amberspindle::quorum::founding::Barred;
 use amberspindle::quorum::frame::Frame;
-use amberspindle::quorum::fronts::Fronts;
+use amberspindle::quorum::fronts::FleetPosition;
 use amberspindle::quorum::journal;
 use amberspindle::quorum::machine::Event;
 use amberspindle::quorum::record::Done;
-use amberspindle::quorum::{Boot, Duty, Incarnation, Input, Machine, Name, Out, Setup, Voter, VoterId};
-use amberspindle::rules::standing::{Ruling, Standing, Sure};
-use amberspindle::rules::version::{Proposal, Unproposed};
+use amberspindle::quorum::{
+    BootTime, Duty, Incarnation, Input, Machine, Name, Out, QuorumConfig, Voter, VoterId,
+};
+use amberspindle::rules::standing::{LocalRules, RateDecision, RulesFreshness};
+use amberspindle::rules::version::{Proposal, ProposeError};
 
 const VOTERS: u64 = 3;
 const MEMBERS: u64 = 5;
 /// Those that keep a folder and do not vote at first.
 const SPARES: std::ops::RangeInclusive<u64> = 4..=5;
 
-fn setup(n: u64) -> Setup {
+fn setup(n: u64) -> QuorumConfig {
     let voter = |n: u64| Voter { name: Name(format!("m{n}")), address: ([127, 0, 0, 1], n as u16).into() };
-    Setup {
+    QuorumConfig {
         cluster: "c".into(),
         name: Name(format!("m{n}")),
         listen: None,
@@ -54,7 +56,7 @@
 
 /// All processes, on one clock.
 struct World {
-    now: Boot,
+    now: BootTime,
     machines: BTreeMap<u64, Machine>,
     journals: BTreeMap<u64, Vec<u8>>,
     /// Whom each dials, by the number that it has as a voter.
@@ -66,16 +68,16 @@
     travels: VecDeque<Travels>,
     runs: u64,
     /// What each acts on.
-    rules: BTreeMap<u64, Standing>,
+    rules: BTreeMap<u64, LocalRules>,
     /// What the module of each was told last.
-    fronts: BTreeMap<u64, Fronts>,
+    fronts: BTreeMap<u64, FleetPosition>,
     events: Vec<(u64, Event)>,
 }
 
 impl World {
     fn new() -> World {
         let mut world = World {
-            now: Boot(1_000_000),
+            now: BootTime(1_000_000),
             machines: BTreeMap::new(),
             journals: BTreeMap::new(),
             dials: BTreeMap::new(),
@@ -122,7 +124,7 @@
     }
 
     /// Proposes a limit for all, at the leader.
-    fn propose(&mut self, most_per_s: u32) -> Result<u64, Unproposed> {
+    fn propose(&mut self, most_per_s: u32) -> Result<u64, ProposeError> {
         let leader = self.leader().unwrap();
         self.input(leader, Input::Accepted(99));
         let text = format!("[[limit]]\nmost_per_s = {most_per_s}\n");
@@ -139,8 +141,8 @@
     }
 
     /// What each is held to now.
-    fn held(&self) -> BTreeMap<u64, (Sure, Ruling)> {
-        let of = |(n, s): (&u64, &Standing)| (*n, (s.sure(self.now), s.ruling(self.now, "", "")));
+    fn held(&self) -> BTreeMap<u64, (RulesFreshness, RateDecision)> {
+        let of = |(n, s): (&u64, &LocalRules)| (*n, (s.sure(self.now), s.ruling(self.now, "", "")));
         self.rules.iter().map(of).collect()
     }
 
@@ -206,7 +208,7 @@
                     self.travels.push_back(Travels::Wrote(n, number));
                 }
                 Out::Record(job) => self.input(n, Input::Recorded(job.epoch, Done::Written)),
-                Out::Fronts(fronts) => {
+                Out::FleetPosition(fronts) => {
                     self.fronts.insert(n, fronts);
                 }
                 Out::Rules(standing) => {
@@ -219,9 +221,9 @@
 
     /// Lets time go by; links come up by themselves.
     fn pass(&mut self, span: u64) {
-        let until = Boot(self.now.0 + span);
+        let until = BootTime(self.now.0 + span);
         while self.now < until {
-            self.now = Boot(self.now.0 + 10_000);
+            self.now = BootTime(self.now.0 + 10_000);
             for ((from, to), id) in self.dials.clone() {
                 let cut = self.cut.contains(&from) || self.cut.contains(&to);
                 if !cut && self.machines.contains_key(&to) && !self.links.contains_key(&(from, to)) {
@@ -493,11 +495,11 @@
     assert_eq!(world.fronts[&5].count, 4, "nobody can agree on anything else");
 }
 
-fn per_s(held: &BTreeMap<u64, (Sure, Ruling)>) -> Vec<u32> {
-    let of = |(_, ruling): &(Sure, Ruling)| match ruling {
-        Ruling::Limit { per_s, .. } => *per_s,
-        Ruling::Free => u32::MAX,
-        Ruling::Refuse(_) => 0,
+fn per_s(held: &BTreeMap<u64, (RulesFreshness, RateDecision)>) -> Vec<u32> {
+    let of = |(_, ruling): &(RulesFreshness, RateDecision)| match ruling {
+        RateDecision::Limit { per_s, .. } => *per_s,
+        RateDecision::Free => u32::MAX,
+        RateDecision::Refuse(_) => 0,
     };
     held.values().map(of).collect()
 }
@@ -509,15 +511,15 @@
     let mut world = World::new();
     world.pass(5_000_000);
     assert_eq!(world.propose(50), Ok(1));
-    assert_eq!(world.propose(60), Err(Unproposed::Underway(1)));
+    assert_eq!(world.propose(60), Err(ProposeError::Underway(1)));
     world.pass(3_000_000);
     assert_eq!(per_s(&world.held()), [50; 5]);
-    assert_eq!(world.propose(50), Err(Unproposed::Same(1)));
+    assert_eq!(world.propose(50), Err(ProposeError::Same(1)));
     world.cut(5);
     assert_eq!(world.propose(20), Ok(2));
     let mut tighter = None;
     let mut overlap = 0;
-    while world.held()[&5].0 != Sure::Unsure(1) {
+    while world.held()[&5].0 != RulesFreshness::Unsure(1) {
         world.pass(10_000);
         let held = per_s(&world.held());
         if held[0] == 20 {
@@ -555,10 +557,10 @@
     world.input(leader, Input::Accepted(99));
     let name = |n: &str| Name(n.into());
     for (gone, new, why) in [
-        ("m9", "m4", Unreplaced::NoVoter(name("m9"))),
-        ("m1", "m3", Unreplaced::Votes(name("m3"))),
-        ("m1", "m5", Unreplaced::NoOffer(name("m5"))),
-        ("m1", "m1", Unreplaced::NoOffer(name("m1"))),
+        ("m9", "m4", ReplaceError::NoVoter(name("m9"))),
+        ("m1", "m3", ReplaceError::Votes(name("m3"))),
+        ("m1", "m5", ReplaceError::NoOffer(name("m5"))),
+        ("m1", "m1", ReplaceError::NoOffer(name("m1"))),
     ] {
         let mut out = Vec::new();
         let asked = Frame::Replace(name(gone), name(new));
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -53,19 +53,19 @@
 fn play(draw: Draw) -> Seen {
     let mut rng = fastrand::Rng::with_seed(draw.seed);
     let mut s = settings();
-    (s.fronts, s.kind_streams) = (draw.processes, vec![draw.places]);
-    (s.classes[CLIP].aim, s.classes[CLIP].deadline) = (ms(400), ms(1500));
+    (s.broker_count, s.kind_streams) = (draw.processes, vec![draw.places]);
+    (s.classes[CLIP].slo, s.classes[CLIP].deadline) = (ms(400), ms(1500));
     let started = ms(1_000_000);
     let mut entry = ServerEntry::new(server(0), ServerState::Ready, 0);
     entry.up_since = Some(started);
     let born = |me: u32, seed: u64, at: Micros, s: &Settings| {
-        let mut front = Front::bare(Settings { me, ..s.clone() }, seed);
+        let mut front = ModuleHarness::bare(Settings { broker_index: me, ..s.clone() }, seed);
         front.now = at;
         front
     };
     // (front, number, when it hears of the start, when it is told to end, when it is gone, traffic)
     struct Process {
-        front: Front,
+        front: ModuleHarness,
         me: u32,
         hears: u64,
         ends: u64,
@@ -89,7 +89,7 @@
         for p in processes.iter_mut().filter(|p| round < p.gone) {
             if round == p.ends {
                 if draw.ends_hand_turns_on {
-                    p.front.tell(Event::Turns(Micros::MAX));
+                    p.front.tell(Event::WarmUpTurnsFrom(Micros::MAX));
                 }
                 // Requests on open connections come for a while, and those that wait have their time.
                 p.gone = round + 20;
@@ -116,7 +116,7 @@
                 arrived.push((at, weight));
                 // The server is slow, then full of it: it starts it, and it is over.
                 let took = ms(50);
-                p.front.tell(Event::First { id: of, attempt: 0, server: server(0), took });
+                p.front.tell(Event::SetUpDone { id: of, attempt: 0, server: server(0), took });
                 p.front.tell(Event::Outcome {
                     id: of,
                     attempt: 0,
@@ -134,8 +134,8 @@
             processes.push(p);
         }
     }
-    let pace = f64::from(draw.places) / s.cold.secs() * s.cold_from * s.fall_multiple;
-    Seen { arrived, budget: pace * s.fall.secs(), fall: s.fall.0 }
+    let pace = f64::from(draw.places) / s.warm_up.secs() * s.initial_capacity * s.overload_factor;
+    Seen { arrived, budget: pace * s.overload_window.secs(), fall: s.overload_window.0 }
 }
 
 const PLAYED: u64 = 9_000_000;
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -31,7 +31,7 @@
         if passes(&mut program.connect("viewer")) {
             return begun.elapsed();
         }
-        assert!(begun.elapsed() < PATIENCE, "it is never ready");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "it is never ready");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
@@ -39,9 +39,9 @@
 /// Thirty are started together, with discovery up, slow, and down, and with the last list at hand or not.
 #[test]
 fn nine_in_ten_of_thirty_are_ready_within_ten_seconds() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let list = event(1, true, &[("s-0", edge.address, 0, "in_service")]);
-    let up = Notices::start();
+    let up = NoticeBoard::start();
     up.stand(&list);
     // One that accepts and says nothing, and one that is not there.
     let slow = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -51,7 +51,7 @@
         .map(|n| {
             let board = [up.address, slow_at, down][n % 3];
             let at_hand = n % 2 == 0;
-            let known = if at_hand { known_of(&list) } else { json!({"rev": 0, "notices": []}) };
+            let known = if at_hand { known_from_event(&list) } else { json!({"rev": 0, "notices": []}) };
             std::thread::spawn(move || ready_after(&known, board))
         })
         .collect();
@@ -67,18 +67,18 @@
 /// Without any list it can serve nobody. Seen to fail before: it said that it was ready.
 #[test]
 fn ready_is_said_once_a_list_is_there() {
-    let edge = Edge::start(Manner::Answers);
-    let board = Notices::start();
+    let edge = Edge::start(EdgeBehaviour::Answers);
+    let board = NoticeBoard::start();
     let program = started(&json!({"rev": 0, "notices": []}), board.address);
-    assert_eq!(board.nth_asked(1), 0);
+    assert_eq!(board.wait_for_request(1), 0);
     assert!(!passes(&mut program.connect("viewer")));
     assert_eq!(program.call("check\n"), "FAILURE no list of servers yet\n");
     board.tell(&event(1, true, &[("s-0", edge.address, 0, "in_service")]));
-    program.logged("generation=1");
+    program.wait_for_log("generation=1");
     program.settle();
     let mut client = program.connect("viewer");
     assert!(passes(&mut client));
     assert_eq!(program.call("check\n"), "SUCCESS ready\n");
-    ask_for(&mut client, 1, "paid", 4_000, "o");
+    send_set_up(&mut client, 1, "paid", 4_000, "o");
     assert_eq!(final_answer(&mut client, 1).unwrap()["type"], "answer");
 }
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -7,21 +7,22 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 
 use amberspindle::api::{ListKind, Micros, ServerState};
-use amberspindle::eureka::{Call, Eureka, Own, Setup};
-use amberspindle::roster::Names;
+use amberspindle::eureka::{Call, Eureka, EurekaConfig, Registration};
+use amberspindle::roster::SettingNames;
 use serde_json::{Value, json};
 use support::*;
 
-fn setup(register: bool) -> Setup {
+fn setup(register: bool) -> EurekaConfig {
     let address = "127.0.0.1:8761".parse().unwrap();
-    let own = Own { app: "BROKER".into(), id: "n1:80".into(), address: "127.0.0.1:80".parse().unwrap() };
+    let own =
+        Registration { app: "BROKER".into(), id: "n1:80".into(), address: "127.0.0.1:80".parse().unwrap() };
     let (fetch, beat) = (Micros(5_000_000), Micros(30_000_000));
     let path = "/eureka".to_owned();
-    Setup { address, path, servers: "BOX".into(), register: register.then_some(own), fetch, beat }
+    EurekaConfig { address, path, servers: "BOX".into(), register: register.then_some(own), fetch, beat }
 }
 
 fn registry(register: bool) -> Eureka {
-    let names = Names { kinds: vec!["small".into(), "big".into()], ..Names::default() };
+    let names = SettingNames { kinds: vec!["small".into(), "big".into()], ..SettingNames::default() };
     Eureka::new(setup(register), names)
 }
 
@@ -148,14 +149,16 @@
 }
 
 fn expect(calls: &Receiver<String>, start: &str) {
-    while !calls.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("never called: {start}")).starts_with(start)
-    {
-    }
+    while !calls
+        .recv_timeout(TEST_TIMEOUT)
+        .unwrap_or_else(|_| panic!("never called: {start}"))
+        .starts_with(start)
+    {}
 }
 
 #[test]
 fn a_program_serves_from_the_registry_and_leaves_it_at_the_end() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let mut listed = instance("box-a", "UP", edge.address.port());
     listed["metadata"] = json!({"cell": "0", "weight": 4});
     listed["leaseInfo"] = json!({});
@@ -172,13 +175,13 @@
     assert_eq!(ask(&program, "POST", "/whep/guide", Some(offer)).status, 201);
     program.terminate();
     expect(&calls, "DELETE /eureka/apps/BROKER/");
-    edge.say(release(edge.nth_set_up(1), 16));
+    edge.say(release(edge.wait_for_set_up(1), 16));
     assert!(program.ended_well());
 }
 
 #[test]
 fn a_script_refuses_and_after_its_error_the_broker_goes_on_without_it() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let script = "fn on_request(r) { if r.title == \"shut\" { #{refuse: true, wait_ms: 2500} } }\n\
                   fn on_outcome(o) { if o.outcome == \"plays\" { throw \"enough\" } }";
     let mut text = format!(
@@ -194,6 +197,6 @@
     let refused = ask(&program, "POST", "/whep/shut", offer);
     assert_eq!((refused.status, refused.header("retry-after")), (503, Some("3")));
     assert_eq!(ask(&program, "POST", "/whep/open", offer).status, 201);
-    program.logged("hook off");
+    program.wait_for_log("hook off");
     assert_eq!(ask(&program, "POST", "/whep/shut", offer).status, 201);
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
 fn figure(program: &Program, name: &str) -> u64 {
     let text = program.call("vars\n");
@@ -17,16 +17,20 @@
 }
 
 fn start(edge: &Edge) -> (Program, Value) {
-    let program =
-        Program::platform_more(&[edge], LONG, &json!({"console": "127.0.0.1:0"}), &["viewer", "console"]);
-    let mut file = config(&[edge], LONG);
+    let program = Program::platform_with_config(
+        &[edge],
+        UNREACHED_DEADLINE_MS,
+        &json!({"console": "127.0.0.1:0"}),
+        &["viewer", "console"],
+    );
+    let mut file = config(&[edge], UNREACHED_DEADLINE_MS);
     file["console"] = json!("127.0.0.1:0");
     (program, file)
 }
 
 fn set_up(program: &Program, id: u64, class: &str) -> BufReader<TcpStream> {
     let mut stream = program.connect("viewer");
-    ask_for(&mut stream, id, class, 50_000, class);
+    send_set_up(&mut stream, id, class, 50_000, class);
     BufReader::new(stream)
 }
 
@@ -50,7 +54,7 @@
 /// the broker drains.
 #[test]
 fn a_broken_file_is_taken_not_at_all() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let (program, file) = start(&edge);
     let with = |pointer: &str, value: Value| {
         let mut new = file.clone();
@@ -89,20 +93,20 @@
 
 #[test]
 fn classes_come_change_and_go_under_requests_that_keep_theirs() {
-    let edge = Edge::start(Manner::Silent);
+    let edge = Edge::start(EdgeBehaviour::Silent);
     let (program, mut file) = start(&edge);
     // Under way as a class whose repeat does no harm; the class becomes paid meanwhile.
     let mut under_way = set_up(&program, 1, "clip");
-    edge.nth_set_up(1);
+    edge.wait_for_set_up(1);
     let classes = file["settings"]["RequestClasses"].as_array_mut().unwrap();
     classes[1]["Effect"] = json!("non_idempotent");
     classes.push(json!({"Name": "gold", "Slo": 30000, "Deadline": 60000, "Effect": "non_idempotent"}));
     reread(&program, &file.to_string(), 0, true);
     let mut gold = set_up(&program, 2, "gold");
     let mut strict = set_up(&program, 3, "clip");
-    edge.nth_set_up(3);
+    edge.wait_for_set_up(3);
     // All fail at the server. What may run twice is sent again under the effect it was taken with, the others not.
-    edge.behave(Manner::Answers);
+    edge.set_behaviour(EdgeBehaviour::Answers);
     for id in 1..=3 {
         edge.say(release(amberspindle::api::SessionId(id), 47));
     }
@@ -119,12 +123,12 @@
     file["settings"]["RequestClasses"][1]["Effect"] = json!("read_like");
     file["settings"]["RequestClasses"].as_array_mut().unwrap().pop();
     reread(&program, &file.to_string(), 1, true);
-    edge.behave(Manner::Fails);
+    edge.set_behaviour(EdgeBehaviour::Fails);
     let before = edge.set_ups().len();
     assert_ne!(answer(&mut set_up(&program, 4, "clip"))["type"], "answer");
     assert_eq!(edge.set_ups().len(), before + 1);
     // The class that went is asked for in vain, at the latest after what was on its way has come.
-    edge.behave(Manner::Answers);
+    edge.set_behaviour(EdgeBehaviour::Answers);
     let mut id = 10;
     while answer(&mut set_up(&program, id, "gold"))["type"] == "answer" {
         id += 1;
--- a/tests/slow_discovery.rs
+++ b/tests/slow_discovery.rs
@@ -12,7 +12,7 @@
 use support::crossing::*;
 use support::*;
 
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 /// Time between two bytes of a board that drips.
 const DRIP: Duration = Duration::from_millis(500);
 /// The board fails for so long before it is good again.
@@ -50,7 +50,7 @@
     let _ = stream.read(&mut asked);
     if good {
         let _ = stream.write_all(format!("{HEAD}{event}").as_bytes());
-        std::thread::sleep(PATIENCE);
+        std::thread::sleep(TEST_TIMEOUT);
         return;
     }
     let (whole, dripped) = match how {
@@ -78,26 +78,27 @@
 }
 
 fn takes_the_change_in_time(how: Drips) {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let servers = [("s-0", edge.address, 0, "in_service")];
     let drained = event(2, false, &[("s-0", edge.address, 0, "terminating")]);
     let told = format!("id: 2\ndata: {drained}\n\n");
     let good = Arc::new(AtomicBool::new(false));
     let board = dripping(how, told, good.clone());
-    let known = known_of(&event(1, true, &servers));
-    let more = json!({"console": "127.0.0.1:0", "settings": roomy(LONG), "known": known, "board": board.to_string()});
-    let program = Program::platform_more(&[&edge], LONG, &more, &["viewer", "console"]);
+    let known = known_from_event(&event(1, true, &servers));
+    let more = json!({"console": "127.0.0.1:0", "settings": settings_with_spare_uplink(UNREACHED_DEADLINE_MS), "known": known, "board": board.to_string()});
+    let program =
+        Program::platform_with_config(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
     std::thread::sleep(FAILS_FOR);
     good.store(true, Ordering::SeqCst);
     let since = Instant::now();
-    program.logged("generation=2");
+    program.wait_for_log("generation=2");
     assert!(since.elapsed() <= TOLD_WITHIN, "{how:?}: {:?}", since.elapsed());
 }
 
 /// A long list over a slow way is waited for as long as it goes on coming.
 #[test]
 fn a_long_list_that_goes_on_coming_is_read_to_its_end() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let names: Vec<String> = (0..4_000).map(|n| format!("s-{n:05}")).collect();
     let state = |n: usize| if n == 0 { "in_service" } else { "terminating" };
     let address = |n: usize| SocketAddr::from(([127, 1, (n / 250) as u8, (n % 250) as u8], 9));
@@ -118,12 +119,13 @@
                     let _ = stream.write_all(piece);
                     std::thread::sleep(Duration::from_millis(100));
                 }
-                std::thread::sleep(PATIENCE);
+                std::thread::sleep(TEST_TIMEOUT);
             });
         }
     });
-    let known = known_of(&event(1, true, &[("s-0", edge.address, 0, "in_service")]));
-    let more = json!({"console": "127.0.0.1:0", "settings": roomy(LONG), "known": known, "board": board.to_string()});
-    let program = Program::platform_more(&[&edge], LONG, &more, &["viewer", "console"]);
-    program.logged("generation=2 servers=4000");
+    let known = known_from_event(&event(1, true, &[("s-0", edge.address, 0, "in_service")]));
+    let more = json!({"console": "127.0.0.1:0", "settings": settings_with_spare_uplink(UNREACHED_DEADLINE_MS), "known": known, "board": board.to_string()});
+    let program =
+        Program::platform_with_config(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
+    program.wait_for_log("generation=2 servers=4000");
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -23,11 +23,11 @@
 pub use program::{Program, config, starting, tempdir};
 
 /// Nothing here takes so long; a test that waits for it in vain fails instead of hanging.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What a stand-in does with a set-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum EdgeBehaviour {
     Answers,
     Full,
     Fails,
@@ -53,7 +53,7 @@
 #[derive(Clone)]
 pub struct Edge {
     pub address: SocketAddr,
-    manner: Arc<Mutex<Manner>>,
+    manner: Arc<Mutex<EdgeBehaviour>>,
     heard: Arc<(Mutex<Heard>, Condvar)>,
 }
 
@@ -62,7 +62,7 @@
 }
 
 impl Edge {
-    pub fn start(manner: Manner) -> Edge {
+    pub fn start(manner: EdgeBehaviour) -> Edge {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let edge = Edge {
             address: listener.local_addr().unwrap(),
@@ -84,7 +84,7 @@
         });
     }
 
-    pub fn behave(&self, manner: Manner) {
+    pub fn set_behaviour(&self, manner: EdgeBehaviour) {
         *self.manner.lock().unwrap() = manner;
     }
 
@@ -107,7 +107,7 @@
                         heard.set_ups.push((id, offer.clone()));
                         heard.times.push(Instant::now());
                         heard.on.push(stream.try_clone().unwrap());
-                        if manner != Manner::Full {
+                        if manner != EdgeBehaviour::Full {
                             heard.ran.push(offer.clone());
                         }
                     }
@@ -119,11 +119,11 @@
                 drop(heard);
                 if kind == Kind::SetUp {
                     match manner {
-                        Manner::Answers => self.write(&mut stream, answer(id, &offer)),
-                        Manner::Full => self.write(&mut stream, release(id, cause::FULL)),
-                        Manner::Fails => self.write(&mut stream, release(id, cause::ERROR)),
-                        Manner::Silent => {}
-                        Manner::Breaks => {
+                        EdgeBehaviour::Answers => self.write(&mut stream, answer(id, &offer)),
+                        EdgeBehaviour::Full => self.write(&mut stream, release(id, cause::FULL)),
+                        EdgeBehaviour::Fails => self.write(&mut stream, release(id, cause::ERROR)),
+                        EdgeBehaviour::Silent => {}
+                        EdgeBehaviour::Breaks => {
                             let _ = stream.shutdown(Shutdown::Both);
                             return;
                         }
@@ -138,16 +138,16 @@
     }
 
     /// Says something on the connection of a set-up.
-    pub fn say_beside(&self, id: SessionId, message: Builder) {
+    pub fn send_on_connection_of(&self, id: SessionId, message: Builder) {
         let n = self.set_ups().into_iter().position(|(of, _)| of == id).unwrap();
         let mut stream = self.heard.0.lock().unwrap().on[n].try_clone().unwrap();
         self.write(&mut stream, message);
     }
 
     /// Answers a set-up late, on its own connection.
-    pub fn answer_now(&self, id: SessionId) {
+    pub fn send_answer(&self, id: SessionId) {
         let offer = self.set_ups().into_iter().find(|(of, _)| *of == id).unwrap().1;
-        self.say_beside(id, answer(id, &offer));
+        self.send_on_connection_of(id, answer(id, &offer));
     }
 
     /// Says something on the newest connection.
@@ -181,14 +181,14 @@
             if let Some(found) = found(&heard) {
                 return found;
             }
-            let (next, late) = self.heard.1.wait_timeout(heard, PATIENCE).unwrap();
+            let (next, late) = self.heard.1.wait_timeout(heard, TEST_TIMEOUT).unwrap();
             assert!(!late.timed_out(), "never heard of {what}");
             heard = next;
         }
     }
 
     /// Waits for the `n`th set-up, from 1.
-    pub fn nth_set_up(&self, n: usize) -> SessionId {
+    pub fn wait_for_set_up(&self, n: usize) -> SessionId {
         self.wait("a set-up", |h| h.set_ups.get(n - 1).map(|s| s.0))
     }
 
@@ -232,7 +232,7 @@
 }
 
 /// Asks for a session of a class with an offer, and tells how long its viewer waits.
-pub fn ask_for(stream: &mut TcpStream, id: u64, class: &str, left: u64, offer: &str) {
+pub fn send_set_up(stream: &mut TcpStream, id: u64, class: &str, left: u64, offer: &str) {
     let fields = json!({"class": class, "left": left, "tenant": "home", "key": format!("k{}", id % 7),
         "extras": "home:0;copies:3;top:1"});
     let line = json!({"type": "setup", "id": format!("{id:016x}"), "sdp": offer, "fields": fields});
--- a/tests/support/program.rs
+++ b/tests/support/program.rs
@@ -9,7 +9,7 @@
 
 use serde_json::{Value, json};
 
-use super::{Edge, PATIENCE, known, settings};
+use super::{Edge, TEST_TIMEOUT, known, settings};
 
 /// Held while a process is started, and while a file is written whose closing matters: a process that another
 /// test starts meanwhile has the file open too until its own program runs, and closes it only then. A file that
@@ -63,18 +63,18 @@
 impl Program {
     /// Starts it with the platform's configuration and waits until its fronts listen.
     pub fn platform(edges: &[&Edge], deadline: f64) -> Program {
-        Program::platform_with(edges, deadline, &[])
+        Program::platform_with_options(edges, deadline, &[])
     }
 
     /// The same with options of `serve`.
-    pub fn platform_with(edges: &[&Edge], deadline: f64, options: &[&str]) -> Program {
+    pub fn platform_with_options(edges: &[&Edge], deadline: f64, options: &[&str]) -> Program {
         let files = tempdir::Dir::new();
         let command = Program::command(&files, &config(edges, deadline), options);
         Program::start(command, files, &["viewer"])
     }
 
     /// The same with more in the configuration.
-    pub fn platform_more(edges: &[&Edge], deadline: f64, more: &Value, fronts: &[&str]) -> Program {
+    pub fn platform_with_config(edges: &[&Edge], deadline: f64, more: &Value, fronts: &[&str]) -> Program {
         let mut config = config(edges, deadline);
         for (key, value) in more.as_object().unwrap() {
             config[key] = value.clone();
@@ -141,7 +141,7 @@
         });
         let mut program = Program { child, fronts: BTreeMap::new(), log, files };
         for front in fronts {
-            let line = program.logged(&format!(" for {front}"));
+            let line = program.wait_for_log(&format!(" for {front}"));
             let address = line.split(" listens on ").nth(1).unwrap().split(' ').next().unwrap();
             program.fronts.insert((*front).to_owned(), address.parse().unwrap());
         }
@@ -149,26 +149,26 @@
     }
 
     /// Waits for a line of the log that holds a text.
-    pub fn logged(&self, text: &str) -> String {
+    pub fn wait_for_log(&self, text: &str) -> String {
         let mut lines = self.log.0.lock().unwrap();
         loop {
             if let Some(line) = lines.iter().find(|l| l.contains(text)) {
                 return line.clone();
             }
-            let (next, late) = self.log.1.wait_timeout(lines, PATIENCE).unwrap();
+            let (next, late) = self.log.1.wait_timeout(lines, TEST_TIMEOUT).unwrap();
             assert!(!late.timed_out(), "never logged: {text}\n{}", next.join("\n"));
             lines = next;
         }
     }
 
     /// Waits for the `n`th line, from 0, that begins with a text.
-    pub fn nth_logged(&self, start: &str, n: usize) -> String {
+    pub fn wait_for_nth_log(&self, start: &str, n: usize) -> String {
         let mut lines = self.log.0.lock().unwrap();
         loop {
             if let Some(line) = lines.iter().filter(|l| l.starts_with(start)).nth(n) {
                 return line.clone();
             }
-            let (next, late) = self.log.1.wait_timeout(lines, PATIENCE).unwrap();
+            let (next, late) = self.log.1.wait_timeout(lines, TEST_TIMEOUT).unwrap();
             assert!(!late.timed_out(), "never logged so often: {start}");
             lines = next;
         }
@@ -176,7 +176,7 @@
 
     pub fn connect(&self, front: &str) -> TcpStream {
         let stream = TcpStream::connect(self.fronts[front]).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream
     }
 
@@ -229,7 +229,7 @@
                 return status.success();
             }
             // One that plays may linger for 30 s.
-            assert!(begun.elapsed() < PATIENCE * 3, "it does not end");
+            assert!(begun.elapsed() < TEST_TIMEOUT * 3, "it does not end");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
