--- a/tests/upgrade_seeds.rs
+++ b/tests/upgrade_seeds.rs
@@ -33,7 +33,7 @@
 
 /// Each kind of fault has its turn; the rest is drawn.
 fn plan(seed: u64, rng: &mut Rng) -> Plan {
-    let side = if rng.bool() { Side::Old } else { Side::Heir };
+    let side = if rng.bool() { Side::Old } else { Side::Successor };
     let fault = match seed % 5 {
         0 => Fault::Late(ms(rng, 5..2500)),
         1 => Fault::Kill(side, rng.bool()),
@@ -58,7 +58,7 @@
             seen = set_ups.len();
             let (now, later) = due.into_iter().partition(|(at, _)| *at <= Instant::now());
             due = later;
-            now.into_iter().for_each(|(_, id)| edge.answer_now(id));
+            now.into_iter().for_each(|(_, id)| edge.send_answer(id));
             std::thread::sleep(Duration::from_millis(2));
         }
     });
@@ -70,9 +70,9 @@
     let mut rng = Rng::with_seed(seed);
     let plan = plan(seed, &mut rng);
     let versions = if seed.is_multiple_of(3) { 3 } else { 2 };
-    let edge = Edge::start(Manner::Silent);
+    let edge = Edge::start(EdgeBehaviour::Silent);
     let answers = answer_late(&edge, seed);
-    let mut settings = roomy(LONG);
+    let mut settings = settings_with_spare_uplink(UNREACHED_DEADLINE_MS);
     settings["FamilyInfo"]["PlacesByKind"] = json!([1000]);
     let platform = Arc::new(Platform::with(json!({"settings": settings})));
 
@@ -96,7 +96,7 @@
     if processes.iter_mut().all(Program::has_ended) {
         // An heir that has let the old process go is the only one. Whoever killed it starts the next version, which
         // has to serve all that waits.
-        if plan.at != "leave" || !matches!(plan.fault, Fault::Kill(Side::Heir, _)) {
+        if plan.at != "leave" || !matches!(plan.fault, Fault::Kill(Side::Successor, _)) {
             wrong.push("all processes have ended".to_owned());
         }
         started_anew = ", a version was started anew";
--- a/tests/watched.rs
+++ b/tests/watched.rs
@@ -14,7 +14,7 @@
 use support::*;
 
 const OFFER: &str = "v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\nm=video 9 UDP/TLS/RTP/SAVPF 96\r\n";
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 /// So long that only the system's word on changes, or the operator's, can be what the broker acts on.
 const NEVER: &str = "poll_ms = 3600000";
 /// Only the operator's word: each reading is one that a test asked for.
@@ -68,7 +68,8 @@
     /// Starts a broker where one was before.
     fn again(files: tempdir::Dir, watch: &str, arguments: &[&str]) -> Broker {
         let list = files.0.join("lists/servers.toml");
-        let settings = toml::to_string(&serde_json::json!({"settings": settings(LONG)})).unwrap();
+        let settings =
+            toml::to_string(&serde_json::json!({"settings": settings(UNREACHED_DEADLINE_MS)})).unwrap();
         let path = files.write("operator.toml", &format!("{}\n{settings}", operator(watch)));
         let mut command = Command::new(env!("CARGO_BIN_EXE_amberspindle"));
         command.arg("serve").args(arguments).arg("--config").arg(path);
@@ -97,7 +98,7 @@
 
     /// The `n`th word on the list, from 0.
     fn word(&self, n: usize) -> String {
-        self.program.nth_logged("list.", n)
+        self.program.wait_for_nth_log("list.", n)
     }
 
     fn play(&self) -> Reply {
@@ -109,7 +110,7 @@
 /// The broker never uses anything but the old whole list or the new whole one.
 #[test]
 fn a_writer_that_stops_at_every_byte_is_never_believed() {
-    let (one, two) = (Edge::start(Manner::Answers), Edge::start(Manner::Answers));
+    let (one, two) = (Edge::start(EdgeBehaviour::Answers), Edge::start(EdgeBehaviour::Answers));
     let (old, new) = (list(&[("one", &one, "")]), list(&[("two", &two, "weight = 2.0")]));
     let broker = Broker::start(&format!("{ASKED}\nhold_ms = 0"), &old);
     let mut words = 1;
@@ -146,7 +147,7 @@
 /// The weights of one generation with the servers of another, in either order, and a crash between two renames.
 #[test]
 fn weights_and_servers_of_two_generations_are_never_used_together() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let set = |weight: u32, more: &str| {
         let texts = [server("one", &edge, 0, more), format!("[weights]\none = {weight}\n")];
         seal::close_all(texts.iter().map(|t| (t.as_bytes(), Comment::Hash)))
@@ -184,21 +185,21 @@
     assert_eq!(broker.play().status, 201);
     put(&dir, weights, &new[1]);
     broker.program.hang_up();
-    assert!(broker.program.logged("list.taken").contains("generation=2 servers=1 added=0 changed=1"));
+    assert!(broker.program.wait_for_log("list.taken").contains("generation=2 servers=1 added=0 changed=1"));
 }
 
 /// Every way in which a whole file may come to its place, with the system's word on it and with looks alone.
 #[test]
 fn a_list_is_noticed_however_it_comes() {
     for watch in [NEVER, LOOKS] {
-        let edges: Vec<Edge> = (0..6).map(|_| Edge::start(Manner::Answers)).collect();
+        let edges: Vec<Edge> = (0..6).map(|_| Edge::start(EdgeBehaviour::Answers)).collect();
         let lists: Vec<Vec<u8>> =
             edges.iter().map(|edge| list(&[("keep", &edges[0], ""), ("own", edge, "")])).collect();
         // One that shares its first server's address is no list: the first is a list of one.
         let first = list(&[("keep", &edges[0], "")]);
         let broker = Broker::start(watch, &first);
         let dir = broker.program.files.0.clone();
-        let taken = |n: usize| broker.program.logged(&format!("list.taken generation={n} "));
+        let taken = |n: usize| broker.program.wait_for_log(&format!("list.taken generation={n} "));
         taken(1);
         broker.rename(&lists[1]);
         taken(2);
@@ -233,7 +234,7 @@
 
 #[test]
 fn what_is_no_file_is_refused_and_the_list_stays() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let broker = Broker::start(&format!("{ASKED}\nmost_kb = 4"), &list(&[("one", &edge, "")]));
     let path = &broker.list;
     let mut words = 1;
@@ -273,7 +274,7 @@
 #[test]
 fn a_server_that_a_list_drains_drops_or_ends_gets_nothing_new() {
     for (more, ends) in [("state = \"draining\"", false), ("", false), ("state = \"gone\"", true)] {
-        let edges: Vec<Edge> = (0..3).map(|_| Edge::start(Manner::Answers)).collect();
+        let edges: Vec<Edge> = (0..3).map(|_| Edge::start(EdgeBehaviour::Answers)).collect();
         let named = |leaves: &str| {
             let mut all = vec![("b", &edges[1], ""), ("c", &edges[2], "")];
             if !leaves.is_empty() {
@@ -299,7 +300,7 @@
                 let mut answers = 0;
                 while !stop.load(Ordering::Relaxed) {
                     let mut stream = std::net::TcpStream::connect(front).unwrap();
-                    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+                    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
                     stream.write_all(&http("POST", "/whep/guide", Some(OFFER))).unwrap();
                     assert_eq!(reply(&mut stream).expect("each is answered").status, 201);
                     answers += 1;
@@ -308,7 +309,7 @@
             })
         };
         broker.rename(&named(more));
-        broker.program.logged("list.taken generation=2 ");
+        broker.program.wait_for_log("list.taken generation=2 ");
         // What left before the list was taken may still arrive; what is asked from now on may not go there.
         for _ in 0..30 {
             assert_eq!(play(&broker).status, 201);
@@ -333,7 +334,7 @@
 /// Twenty starts during one rewrite come up with the old list or the new one, none with a mix and none with nothing.
 #[test]
 fn restarts_in_the_middle_of_a_rewrite_find_one_whole_list() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let (old, new) = (list(&[("one", &edge, "")]), list(&[("two", &edge, "weight = 3.0")]));
     let watch = format!("state = \"state\"\nhold_ms = 0\n{NEVER}");
     let broker = Broker::start(&watch, &old);
@@ -386,7 +387,7 @@
 
 #[test]
 fn a_damaged_state_is_set_aside_and_the_file_or_nothing_is_used() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let good = list(&[("one", &edge, "")]);
     let watch = format!("state = \"state\"\n{NEVER}");
     let broker = Broker::start(&watch, &good);
@@ -402,36 +403,36 @@
     fs::write(&state, &bytes).unwrap();
     fs::remove_file(&path).unwrap();
     let broker = Broker::again(files, &watch, &[]);
-    assert!(broker.program.logged("state.refused").contains("damaged"));
-    broker.program.logged("list.none");
+    assert!(broker.program.wait_for_log("state.refused").contains("damaged"));
+    broker.program.wait_for_log("list.none");
     assert!(state.with_extension("damaged").exists());
     broker.rename(&good);
-    broker.program.logged("list.taken generation=1");
+    broker.program.wait_for_log("list.taken generation=1");
     assert_eq!(broker.play().status, 201);
 }
 
 #[test]
 fn a_list_that_drops_most_servers_is_held_back_and_taken_once_it_has_stood() {
-    let edges: Vec<Edge> = (0..3).map(|_| Edge::start(Manner::Answers)).collect();
+    let edges: Vec<Edge> = (0..3).map(|_| Edge::start(EdgeBehaviour::Answers)).collect();
     let all = list(&[("a", &edges[0], ""), ("b", &edges[1], ""), ("c", &edges[2], "")]);
     let one = list(&[("a", &edges[0], "")]);
     let broker = Broker::start(&format!("{NEVER}\nhold_ms = 400"), &all);
     broker.rename(&one);
-    let held = broker.program.logged("list.held");
+    let held = broker.program.wait_for_log("list.held");
     assert!(held.starts_with("list.held dropped=2 of=3 wait_ms="), "{held}");
-    let taken = broker.program.logged("list.taken generation=2 ");
+    let taken = broker.program.wait_for_log("list.taken generation=2 ");
     assert!(taken.contains("servers=1 added=0 changed=0 removed=2"), "{taken}");
 }
 
 /// A server that comes back under its name at another address is another one.
 #[test]
 fn a_server_at_another_address_is_a_new_one() {
-    let (old, new) = (Edge::start(Manner::Answers), Edge::start(Manner::Answers));
+    let (old, new) = (Edge::start(EdgeBehaviour::Answers), Edge::start(EdgeBehaviour::Answers));
     let broker = Broker::start(NEVER, &list(&[("a", &old, "")]));
     let made = broker.play();
     broker.rename(&list(&[("a", &new, "")]));
-    broker.program.logged("list.taken generation=2 servers=1 added=1 changed=0 removed=0");
-    broker.program.logged("reason=moved");
+    broker.program.wait_for_log("list.taken generation=2 servers=1 added=1 changed=0 removed=0");
+    broker.program.wait_for_log("reason=moved");
     let place = made.header("location").unwrap();
     assert_eq!(ask(&broker.program, "DELETE", place, None).status, 404, "what stood there is over");
     assert_eq!(broker.play().status, 201);
@@ -440,7 +441,7 @@
 
 #[test]
 fn titles_and_the_script_are_taken_while_all_goes_on() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let files = tempdir::Dir::new();
     fs::create_dir(files.0.join("lists")).unwrap();
     let write = |dir: &Path, names: &[&str], hook: &str| {
@@ -463,32 +464,32 @@
     let status = |title: &str| ask(&broker.program, "POST", &format!("/whep/{title}"), Some(OFFER)).status;
     assert_eq!((status("sofa"), status("rug"), status("guide")), (201, 404, 404));
     write(&broker.program.files.0, &["sofa", "rug"], pass);
-    broker.program.logged("titles.taken titles=2");
+    broker.program.wait_for_log("titles.taken titles=2");
     assert_eq!((status("sofa"), status("rug")), (201, 201));
     write(&broker.program.files.0, &["sofa", "rug"], refuse);
-    broker.program.nth_logged("script.taken", 1);
+    broker.program.wait_for_nth_log("script.taken", 1);
     assert_eq!((status("sofa"), status("rug")), (201, 503));
     // A script that can't be read leaves the one in use.
     write(&broker.program.files.0, &["sofa", "rug"], "fn on_request(");
-    broker.program.logged("script.refused file=hook.rhai");
+    broker.program.wait_for_log("script.refused file=hook.rhai");
     assert_eq!((status("sofa"), status("rug")), (201, 503));
 }
 
 #[test]
 fn a_file_without_a_seal_is_taken_by_a_rename_where_that_is_allowed() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let plain = |id: &str| server(id, &edge, 0, "").into_bytes();
     let watch = format!("unsealed = true\nstate = \"state\"\nhold_ms = 0\n{NEVER}");
     let broker = Broker::start(&watch, &plain("one"));
-    broker.program.logged("list.none");
+    broker.program.wait_for_log("list.none");
     broker.rename(&plain("two"));
-    broker.program.logged("list.taken generation=1 servers=1");
-    let said = |broker: &Broker| broker.program.nth_logged("list.refused", 0);
+    broker.program.wait_for_log("list.taken generation=1 servers=1");
+    let said = |broker: &Broker| broker.program.wait_for_nth_log("list.refused", 0);
     fs::write(&broker.list, plain("three")).unwrap();
     broker.program.hang_up();
     assert!(said(&broker).contains("amberspindle seal lists/servers.toml"));
     broker.rename(&plain("four"));
-    broker.program.logged("list.taken generation=2 ");
+    broker.program.wait_for_log("list.taken generation=2 ");
     while !broker.program.files.0.join("state/amberspindle.state").exists() {
         std::thread::yield_now();
     }
@@ -496,9 +497,9 @@
 
 #[test]
 fn the_log_may_be_json_with_an_event_and_its_fields() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let broker = Broker::with_log(NEVER, &list(&[("one", &edge, "")]), &["--log-format", "json"]);
-    let line = broker.program.logged("list.taken");
+    let line = broker.program.wait_for_log("list.taken");
     let value: serde_json::Value = serde_json::from_str(&line).unwrap();
     for (field, told) in [
         ("event", serde_json::json!("list.taken")),
@@ -534,9 +535,10 @@
 /// What `check` said "the configuration can work" to.
 #[test]
 fn check_names_each_finding_on_a_line_of_its_own() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let files = tempdir::Dir::new();
-    let settings = toml::to_string(&serde_json::json!({"settings": settings(LONG)})).unwrap();
+    let settings =
+        toml::to_string(&serde_json::json!({"settings": settings(UNREACHED_DEADLINE_MS)})).unwrap();
     let title = "[[title]]\nname = \"t\"\nclass = \"clip\"\nhome = 0\ncopies = 1\n";
     let file = |whip: &str, more: &str| {
         files.write(
@@ -575,9 +577,10 @@
 
 #[test]
 fn seal_writes_the_mark_that_check_asks_for() {
-    let edge = Edge::start(Manner::Answers);
+    let edge = Edge::start(EdgeBehaviour::Answers);
     let files = tempdir::Dir::new();
-    let settings = toml::to_string(&serde_json::json!({"settings": settings(LONG)})).unwrap();
+    let settings =
+        toml::to_string(&serde_json::json!({"settings": settings(UNREACHED_DEADLINE_MS)})).unwrap();
     fs::create_dir(files.0.join("lists")).unwrap();
     files.write("operator.toml", &format!("{}\n{settings}", operator("weights = \"w.toml\"")));
     let text = server("a", &edge, 0, "# heavy");
--- a/tests/whip.rs
+++ b/tests/whip.rs
@@ -10,15 +10,15 @@
 
 const OFFER: &str = "v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\nm=video 9 UDP/TLS/RTP/SAVPF 96\r\n";
 const OTHER: &str = "v=0\r\no=- 2 2 IN IP4 127.0.0.1\r\nm=video 9 UDP/TLS/RTP/SAVPF 97\r\n";
-const LONG: f64 = 60_000.0;
+const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 const BOOKING: &str = "/whip/walk/bookings/b-1";
 
 #[test]
 fn a_session_is_set_up_and_deleted() {
-    let edge = Edge::start(Manner::Answers);
-    let program = Program::whip(&[&edge], LONG, "");
+    let edge = Edge::start(EdgeBehaviour::Answers);
+    let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "");
     let made = ask(&program, "POST", "/whep/guide", Some(OFFER));
-    let id = edge.nth_set_up(1);
+    let id = edge.wait_for_set_up(1);
     assert_eq!((made.status, made.body), (201, edge_answer(id, OFFER)));
     assert_eq!(edge.set_ups()[0].1, OFFER);
     assert_eq!(made.head.matches("application/sdp").count(), 1);
@@ -37,8 +37,8 @@
 
 #[test]
 fn what_can_not_be_served_is_told_why_on_one_connection() {
-    let edge = Edge::start(Manner::Answers);
-    let program = Program::whip(&[&edge], LONG, "");
+    let edge = Edge::start(EdgeBehaviour::Answers);
+    let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "");
     let mut stream = program.connect("http");
     let mut on = |request: Vec<u8>| {
         stream.write_all(&request).unwrap();
@@ -61,33 +61,33 @@
     let mut broken = program.connect("http");
     broken.write_all(b"no http\r\n\r\n").unwrap();
     assert_eq!(reply(&mut broken).unwrap().status, 400);
-    program.logged("peer=http");
-    program.logged("reason=bad-request");
+    program.wait_for_log("peer=http");
+    program.wait_for_log("reason=bad-request");
 }
 
 #[test]
 fn a_booking_is_set_up_once_whatever_is_repeated() {
-    let edge = Edge::start(Manner::Answers);
-    let program = Program::whip(&[&edge], LONG, "");
+    let edge = Edge::start(EdgeBehaviour::Answers);
+    let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "");
     let first = ask(&program, "POST", BOOKING, Some(OFFER));
     let again = ask(&program, "POST", BOOKING, Some(OFFER));
     assert_eq!(first.status, 201);
     assert_eq!(first, again);
     assert_eq!(ask(&program, "POST", BOOKING, Some(OTHER)).status, 409);
     assert_eq!(ask(&program, "DELETE", BOOKING, None).status, 200);
-    edge.released(edge.nth_set_up(1), 1);
+    edge.released(edge.wait_for_set_up(1), 1);
     assert_eq!(ask(&program, "POST", BOOKING, Some(OFFER)).status, 409, "the booking is spent");
     assert_eq!(edge.set_ups().len(), 1);
 }
 
 #[test]
 fn full_servers_lead_to_a_refusal_and_the_booking_stays_free() {
-    let edge = Edge::start(Manner::Full);
+    let edge = Edge::start(EdgeBehaviour::Full);
     let program = Program::whip(&[&edge], 800.0, "");
     let refused = ask(&program, "POST", BOOKING, Some(OFFER));
     assert_eq!(refused.status, 503);
     assert!(refused.header("retry-after").unwrap().parse::<u64>().unwrap() >= 1);
-    edge.behave(Manner::Answers);
+    edge.set_behaviour(EdgeBehaviour::Answers);
     // The server that was full is left alone for a while: a refusal in between does no harm.
     let made = std::iter::repeat_with(|| ask(&program, "POST", BOOKING, Some(OFFER)).status);
     assert_eq!(made.take(20).find(|s| *s != 503), Some(201));
@@ -95,13 +95,15 @@
 
 #[test]
 fn a_paid_set_up_that_may_have_run_is_not_sent_again() {
-    for (manner, deadline, status) in
-        [(Manner::Fails, LONG, 502), (Manner::Breaks, LONG, 502), (Manner::Silent, 1500.0, 504)]
-    {
+    for (manner, deadline, status) in [
+        (EdgeBehaviour::Fails, UNREACHED_DEADLINE_MS, 502),
+        (EdgeBehaviour::Breaks, UNREACHED_DEADLINE_MS, 502),
+        (EdgeBehaviour::Silent, 1500.0, 504),
+    ] {
         let edges = [Edge::start(manner), Edge::start(manner)];
         let program = Program::whip(&[&edges[0], &edges[1]], deadline, "");
         assert_eq!(ask(&program, "POST", BOOKING, Some(OFFER)).status, status, "{manner:?}");
-        edges.iter().for_each(|e| e.behave(Manner::Answers));
+        edges.iter().for_each(|e| e.set_behaviour(EdgeBehaviour::Answers));
         assert_eq!(ask(&program, "POST", BOOKING, Some(OFFER)).status, status, "the answer it had");
         assert_eq!(edges.iter().map(|e| e.set_ups().len()).sum::<usize>(), 1, "{manner:?}");
     }
@@ -109,15 +111,15 @@
 
 #[test]
 fn a_delete_during_an_attempt_gives_one_answer_and_releases_a_late_one() {
-    let edge = Edge::start(Manner::Silent);
-    let program = Program::whip(&[&edge], LONG, "");
+    let edge = Edge::start(EdgeBehaviour::Silent);
+    let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "");
     let mut post = program.connect("http");
     post.write_all(&http("POST", BOOKING, Some(OFFER))).unwrap();
-    let id = edge.nth_set_up(1);
+    let id = edge.wait_for_set_up(1);
     assert_eq!(ask(&program, "DELETE", BOOKING, None).status, 200);
     assert_eq!(reply(&mut post).unwrap().status, 409);
     edge.released(id, 1);
-    edge.answer_now(id);
+    edge.send_answer(id);
     edge.released(id, 2);
     assert_eq!(ask(&program, "POST", BOOKING, Some(OFFER)).status, 409, "the booking is spent");
     assert_eq!(edge.set_ups().len(), 1);
@@ -128,14 +130,14 @@
 
 #[test]
 fn a_paid_set_up_outlives_its_connection_and_can_be_claimed() {
-    let edge = Edge::start(Manner::Silent);
-    let program = Program::whip(&[&edge], LONG, "");
+    let edge = Edge::start(EdgeBehaviour::Silent);
+    let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "");
     let mut post = program.connect("http");
     post.write_all(&http("POST", BOOKING, Some(OFFER))).unwrap();
-    let id = edge.nth_set_up(1);
+    let id = edge.wait_for_set_up(1);
     post.shutdown(Shutdown::Both).unwrap();
-    program.logged("peer=http");
-    edge.answer_now(id);
+    program.wait_for_log("peer=http");
+    edge.send_answer(id);
     let claimed = ask(&program, "POST", BOOKING, Some(OFFER));
     assert_eq!((claimed.status, claimed.body), (201, edge_answer(id, OFFER)));
     assert_eq!(edge.set_ups().len(), 1);
@@ -143,16 +145,16 @@
 
 #[test]
 fn a_paid_session_that_nobody_claims_is_released_and_an_unpaid_one_given_up() {
-    let edge = Edge::start(Manner::Silent);
-    let program = Program::whip(&[&edge], LONG, "reclaim_ms = 50");
+    let edge = Edge::start(EdgeBehaviour::Silent);
+    let program = Program::whip(&[&edge], UNREACHED_DEADLINE_MS, "reclaim_ms = 50");
     for (n, path) in [BOOKING, "/whep/guide"].into_iter().enumerate() {
         let mut post = program.connect("http");
         post.write_all(&http("POST", path, Some(OFFER))).unwrap();
-        let id = edge.nth_set_up(n + 1);
+        let id = edge.wait_for_set_up(n + 1);
         post.shutdown(Shutdown::Both).unwrap();
         if path == BOOKING {
-            program.logged("peer=http");
-            edge.answer_now(id);
+            program.wait_for_log("peer=http");
+            edge.send_answer(id);
         }
         edge.released(id, 1);
     }
@@ -164,12 +166,18 @@
 #[test]
 fn connections_cut_at_random_points_never_set_a_paid_session_up_twice() {
     let mut rng = fastrand::Rng::with_seed(0x5eed);
-    let manners = [Manner::Answers, Manner::Answers, Manner::Fails, Manner::Breaks, Manner::Full];
-    let edges: Vec<Edge> = (0..3).map(|_| Edge::start(Manner::Answers)).collect();
+    let manners = [
+        EdgeBehaviour::Answers,
+        EdgeBehaviour::Answers,
+        EdgeBehaviour::Fails,
+        EdgeBehaviour::Breaks,
+        EdgeBehaviour::Full,
+    ];
+    let edges: Vec<Edge> = (0..3).map(|_| Edge::start(EdgeBehaviour::Answers)).collect();
     let program = Program::whip(&edges.iter().collect::<Vec<_>>(), 1000.0, "");
     let mut stood = BTreeMap::new();
     for n in 0..60 {
-        edges.iter().for_each(|e| e.behave(manners[rng.usize(..manners.len())]));
+        edges.iter().for_each(|e| e.set_behaviour(manners[rng.usize(..manners.len())]));
         let offer = format!("{OFFER}a=booking:{n}\r\n");
         let path = format!("/whip/walk/bookings/r-{n}");
         let request = http("POST", &path, Some(&offer));
