--- a/src/module/brain/ending.rs
+++ b/src/module/brain/ending.rs
@@ -3,38 +3,41 @@
 use super::*;
 
 /// A set-up of a class that may be repeated is begun if so many times its usual time are left.
-const REPEATABLE_TIMES: f64 = 3.0;
+const REPEATABLE_SETUP_FACTOR: f64 = 3.0;
 /// One of a class whose set-up must not happen twice fails for good if it is not answered: so many times.
-const ONCE_TIMES: f64 = 10.0;
+const UNREPEATABLE_SETUP_FACTOR: f64 = 10.0;
 /// But no more than this part of the time that the front had when it was told.
-const ONCE_PART: u64 = 2;
+const SHUTDOWN_TIME_DIVISOR: u64 = 2;
 
 impl Brain {
     /// This front ends: all that waits is answered by then.
-    pub(super) fn ends(&mut self, at: Micros, out: &mut Vec<Action>) {
-        let told = self.book.end.map_or(self.book.now, |end| end.told_at);
-        self.book.end = Some(End { told_at: told, answer_by: at });
+    pub(super) fn begin_shutdown(&mut self, answer_by: Micros, out: &mut Vec<Action>) {
+        let announced_at = self.state.shutdown.map_or(self.state.now, |shutdown| shutdown.announced_at);
+        self.state.shutdown = Some(Shutdown { announced_at, answer_by });
         let waiting =
-            self.book.sessions.iter_mut().filter(|(_, s)| matches!(s.phase, Phase::Held | Phase::Setup));
-        for (id, session) in waiting.filter(|(_, s)| s.req.due > at) {
-            self.book.deadlines.advance(session.req.due, at, *id);
-            session.req.due = at;
+            self.state.sessions.iter_mut().filter(|(_, s)| matches!(s.phase, Phase::Held | Phase::Setup));
+        for (id, session) in waiting.filter(|(_, s)| s.request.due > answer_by) {
+            self.state.deadlines.advance(session.request.due, answer_by, *id);
+            session.request.due = answer_by;
         }
-        self.answer_due(out);
+        self.answer_due_requests(out);
     }
 
     /// Whether a new request is taken on. Where the front ends before the request's own time, a request that
     /// may well not be answered by then is refused at once, while it is sure that nothing ran. May hurt when
     /// another process would not be quicker.
-    pub(super) fn takes_on(&self, id: SessionId) -> bool {
-        let (Some(end), Some(session)) = (self.book.end, self.book.sessions.get(&id)) else { return true };
-        let left = end.answer_by - self.book.now;
-        let times = match self.set.classes[session.req.class].idempotency {
-            Idempotency::Safe => REPEATABLE_TIMES,
-            Idempotency::Unsafe | Idempotency::Keyed { .. } => ONCE_TIMES,
+    pub(super) fn accepts_request(&self, id: SessionId) -> bool {
+        let (Some(shutdown), Some(session)) = (self.state.shutdown, self.state.sessions.get(&id)) else {
+            return true;
         };
-        let usual = Micros::from_secs(self.book.setup_s * times) + self.spare();
-        let wanted = usual.min(Micros((end.answer_by - end.told_at).0 / ONCE_PART));
-        session.req.due < end.answer_by || left >= wanted
+        let time_left = shutdown.answer_by - self.state.now;
+        let setup_factor = match self.settings.classes[session.request.class].idempotency {
+            Idempotency::Safe => REPEATABLE_SETUP_FACTOR,
+            Idempotency::Unsafe | Idempotency::Keyed { .. } => UNREPEATABLE_SETUP_FACTOR,
+        };
+        let usual_time = Micros::from_secs(self.state.mean_setup_s * setup_factor) + self.answer_reserve();
+        let time_needed =
+            usual_time.min(Micros((shutdown.answer_by - shutdown.announced_at).0 / SHUTDOWN_TIME_DIVISOR));
+        session.request.due < shutdown.answer_by || time_left >= time_needed
     }
 }
--- a/src/module/brain/health.rs
+++ b/src/module/brain/health.rs
@@ -1,151 +1,162 @@
 //! Health of servers: which ones are trusted, and what a failure or an answer tells.
 
-use super::rungs::MARK;
+use super::rungs::TOP_RUNG_LIMIT;
 use super::*;
 
 /// First span of distrust; it doubles with each further failure.
-const DISTRUST: Micros = Micros(3_000_000);
+const FIRST_DISTRUST: Micros = Micros(3_000_000);
 /// Time-outs of one server that lie closer together are no accident.
-const MISSES_APART: Micros = Micros(5_000_000);
+const ISOLATED_TIMEOUT_GAP: Micros = Micros(5_000_000);
 /// Weight of an answer in a server's part of errors: about the last five count.
-const ERRORS_LEARN: f64 = 0.2;
+const ERROR_RATE_WEIGHT: f64 = 0.2;
 /// Beyond this part a server is distrusted: two errors in a row after none.
-const ERRORS_MOST: f64 = 0.35;
+const MAX_ERROR_RATE: f64 = 0.35;
 /// Longest span of distrust without a fresh sign of trouble.
-const DISTRUST_MOST: Micros = Micros(16_000_000);
+const MAX_DISTRUST: Micros = Micros(16_000_000);
 /// First span for which a server that turned a set-up away is left alone; it doubles up to eight times.
-const PACKED: Micros = Micros(300_000);
+const FIRST_SATURATION_BACKOFF: Micros = Micros(300_000);
 
 impl Brain {
-    pub(super) fn members(&mut self, kind: ListKind, entries: Vec<ServerEntry>, out: &mut Vec<Action>) {
-        let asks = self.set.discovery == Discovery::OnRequest;
-        if asks && matches!(kind, ListKind::Failed | ListKind::Stale) {
+    pub(super) fn update_servers(
+        &mut self,
+        kind: ListKind,
+        entries: Vec<ServerEntry>,
+        out: &mut Vec<Action>,
+    ) {
+        let polls = self.settings.discovery == Discovery::OnRequest;
+        if polls && matches!(kind, ListKind::Failed | ListKind::Stale) {
             out.push(Action::Watch(true));
         }
         if matches!(kind, ListKind::Complete | ListKind::Stale) {
-            let named: BTreeSet<ServerId> = entries.iter().map(|e| e.id.clone()).collect();
-            let left = |s: &&mut Server| s.entry.state != ServerState::Gone && !named.contains(&s.entry.id);
-            for server in self.book.servers.iter_mut().filter(left) {
-                (server.entry.state, server.gone_at) = (ServerState::Gone, self.book.now);
+            let listed: BTreeSet<ServerId> = entries.iter().map(|e| e.id.clone()).collect();
+            let is_absent =
+                |s: &&mut Server| s.entry.state != ServerState::Gone && !listed.contains(&s.entry.id);
+            for server in self.state.servers.iter_mut().filter(is_absent) {
+                (server.entry.state, server.last_listed_at) = (ServerState::Gone, self.state.now);
             }
         }
-        entries.into_iter().for_each(|entry| self.listed(entry));
-        self.book.index(self.set.cells.max(1));
-        self.freshen();
+        entries.into_iter().for_each(|entry| self.update_server(entry));
+        self.state.index_servers(self.settings.cells.max(1));
+        self.update_mean_utilization();
     }
 
-    pub(super) fn listed(&mut self, entry: ServerEntry) {
-        let cold_until = entry.up_since.map_or(Micros(0), |at| at + self.set.warm_up);
-        if !self.book.names.contains_key(&entry.id) {
+    pub(super) fn update_server(&mut self, entry: ServerEntry) {
+        let warm_up_until = entry.up_since.map_or(Micros(0), |at| at + self.settings.warm_up);
+        if !self.state.server_indexes.contains_key(&entry.id) {
             if entry.state == ServerState::Gone {
                 return;
             }
             let (link, entry) = (Gauge::default(), entry.clone());
-            self.book.place(Server { link, entry, cold_until, ..Server::default() });
+            self.state.insert_server(Server { link, entry, warm_up_until, ..Server::default() });
         }
-        let Some(&i) = self.book.names.get(&entry.id) else { return };
-        let server = &mut self.book.servers[i];
+        let Some(&i) = self.state.server_indexes.get(&entry.id) else { return };
+        let server = &mut self.state.servers[i];
         if entry.up_since > server.entry.up_since {
             // A new start: what was known of the old process says nothing about this one.
-            (server.cold_until, server.link.told) = (cold_until, entry.up_since.map(|at| (0.0, at)));
-            server.warm_from = cold_until;
-            if entry.up_since.is_some_and(|at| at > server.failed_at) {
-                (server.distrust_until, server.fails) = (Micros(0), 0);
+            (server.warm_up_until, server.link.reported) =
+                (warm_up_until, entry.up_since.map(|at| (0.0, at)));
+            server.warm_up_until_before_failure = warm_up_until;
+            if entry.up_since.is_some_and(|at| at > server.last_failed_at) {
+                (server.distrust_until, server.consecutive_failures) = (Micros(0), 0);
             }
         }
-        server.rack = (entry.cell % self.set.racks.max(1)) as usize;
-        server.link.kb = (self.set.link_unit_kb * entry.weight).max(1.0);
-        (server.entry, server.gone_at) = (entry, self.book.now);
+        server.rack = (entry.cell % self.settings.racks.max(1)) as usize;
+        server.link.capacity_kb = (self.settings.link_unit_kb * entry.weight).max(1.0);
+        (server.entry, server.last_listed_at) = (entry, self.state.now);
     }
 
     /// Health: a time-out, a broken or refused connection, or a standstill draws distrust whatever the list
     /// says. Also catches a server the list does not know to be lost. May hurt when one slow answer takes a
     /// good server out for some seconds; the span starts short and a success ends it.
-    pub(super) fn distrust(&mut self, i: usize, why: &str, out: &mut Vec<Action>) {
-        let now = self.book.now;
-        let server = &mut self.book.servers[i];
+    pub(super) fn distrust(&mut self, i: usize, reason: &str, out: &mut Vec<Action>) {
+        let now = self.state.now;
+        let server = &mut self.state.servers[i];
         if server.distrust_until <= now {
-            out.push(Action::Log(format!("distrust {}: {why}", server.entry.id)));
+            out.push(Action::Log(format!("distrust {}: {reason}", server.entry.id)));
         }
-        let span = Micros(DISTRUST.0 << server.fails.min(4)).min(DISTRUST_MOST);
-        server.fails += 1;
-        (server.distrust_until, server.failed_at) = (server.distrust_until.max(now + span), now);
+        let span = Micros(FIRST_DISTRUST.0 << server.consecutive_failures.min(4)).min(MAX_DISTRUST);
+        server.consecutive_failures += 1;
+        (server.distrust_until, server.last_failed_at) = (server.distrust_until.max(now + span), now);
         // It may restart cold before the list tells.
-        if server.cold_until != Micros::MAX {
-            (server.warm_from, server.cold_until) = (server.cold_until, Micros::MAX);
+        if server.warm_up_until != Micros::MAX {
+            (server.warm_up_until_before_failure, server.warm_up_until) = (server.warm_up_until, Micros::MAX);
         }
     }
 
     /// A server that answers with errors does so at once and looks idle, so that ever more goes there. It
     /// runs: a restart is no matter of this. May hurt when two set-ups in a row fail for their own reasons.
-    pub(super) fn erred(&mut self, i: usize, out: &mut Vec<Action>) {
-        let server = &mut self.book.servers[i];
-        server.errors += (1.0 - server.errors) * ERRORS_LEARN;
-        if server.errors > ERRORS_MOST {
-            let cold = (server.warm_from, server.cold_until);
+    pub(super) fn record_error(&mut self, i: usize, out: &mut Vec<Action>) {
+        let server = &mut self.state.servers[i];
+        server.error_rate += (1.0 - server.error_rate) * ERROR_RATE_WEIGHT;
+        if server.error_rate > MAX_ERROR_RATE {
+            let warm_up = (server.warm_up_until_before_failure, server.warm_up_until);
             self.distrust(i, "answers with errors", out);
-            (self.book.servers[i].warm_from, self.book.servers[i].cold_until) = cold;
+            (self.state.servers[i].warm_up_until_before_failure, self.state.servers[i].warm_up_until) =
+                warm_up;
         }
     }
 
     /// Whether a time-out is an accident: the first in a while, of a server that shows room and has answered
     /// since the set-up was sent. May hurt when a server fails slowly: one more time-out tells.
-    pub(super) fn missed_one(&mut self, i: usize, id: SessionId) -> bool {
-        let (now, sent) = (self.book.now, self.book.sessions.get(&id).map(|s| s.started));
-        if self.link_full(i) > MARK {
+    pub(super) fn is_isolated_timeout(&mut self, i: usize, id: SessionId) -> bool {
+        let (now, sent_at) = (self.state.now, self.state.sessions.get(&id).map(|s| s.started_at));
+        if self.link_utilization(i) > TOP_RUNG_LIMIT {
             return false;
         }
-        let server = &mut self.book.servers[i];
-        let first = server.missed_at.is_none_or(|at| now - at > MISSES_APART);
-        server.missed_at = Some(now);
-        first && sent.is_some_and(|sent| server.answered_at > sent)
+        let server = &mut self.state.servers[i];
+        let is_first = server.last_timeout_at.is_none_or(|at| now - at > ISOLATED_TIMEOUT_GAP);
+        server.last_timeout_at = Some(now);
+        is_first && sent_at.is_some_and(|sent_at| server.last_answered_at > sent_at)
     }
 
     /// It answers what was sent before its last failure: it has not restarted since. Without this, one answer
     /// that goes missing leaves a warm server to the pace of a cold one for a whole warm-up.
-    pub(super) fn lives_since(&mut self, i: usize, sent: Micros) {
-        let server = &mut self.book.servers[i];
-        if server.failed_at > Micros(0) && sent < server.failed_at {
-            server.cold_until = server.cold_until.min(server.warm_from);
+    pub(super) fn confirm_not_restarted(&mut self, i: usize, sent_at: Micros) {
+        let server = &mut self.state.servers[i];
+        if server.last_failed_at > Micros(0) && sent_at < server.last_failed_at {
+            server.warm_up_until = server.warm_up_until.min(server.warm_up_until_before_failure);
         }
     }
 
     /// A server that turns set-ups away is left alone, longer each time until it takes one. Answers a full
     /// link where servers guard it, full places, and a drain the list does not tell yet.
-    pub(super) fn packed(&mut self, i: usize) {
-        let now = self.book.now;
-        let server = &mut self.book.servers[i];
-        if self.set.link_limit > 0.0 && server.link.told.is_none_or(|(full, _)| full < self.set.link_limit) {
-            server.link.tell(self.set.link_limit, now);
+    pub(super) fn record_saturation(&mut self, i: usize) {
+        let now = self.state.now;
+        let server = &mut self.state.servers[i];
+        if self.settings.link_limit > 0.0
+            && server.link.reported.is_none_or(|(utilization, _)| utilization < self.settings.link_limit)
+        {
+            server.link.set_reported(self.settings.link_limit, now);
         }
-        server.packed_until = now + Micros(PACKED.0 << server.packed.min(3));
-        server.packed += 1;
+        server.saturated_until =
+            now + Micros(FIRST_SATURATION_BACKOFF.0 << server.consecutive_saturations.min(3));
+        server.consecutive_saturations += 1;
     }
 
-    pub(super) fn trusted(&self, i: usize) -> bool {
-        self.book.servers[i].distrust_until <= self.book.now
+    pub(super) fn is_trusted(&self, i: usize) -> bool {
+        self.state.servers[i].distrust_until <= self.state.now
     }
 
     /// Whether a server that the list calls ready gets nothing for now.
     pub fn distrusts(&self, now: Micros, server: &ServerId) -> bool {
-        self.book.names.get(server).is_some_and(|&i| self.book.servers[i].distrust_until > now)
+        self.state.server_indexes.get(server).is_some_and(|&i| self.state.servers[i].distrust_until > now)
     }
 
-    pub(super) fn answered(&mut self, i: usize, out: &mut Vec<Action>) {
-        let (now, cold) = (self.book.now, self.set.warm_up);
-        let server = &mut self.book.servers[i];
-        (server.packed, server.answered_at) = (0, now);
-        server.errors *= 1.0 - ERRORS_LEARN;
-        if server.errors > ERRORS_MOST {
+    pub(super) fn record_answer(&mut self, i: usize, out: &mut Vec<Action>) {
+        let (now, warm_up) = (self.state.now, self.settings.warm_up);
+        let server = &mut self.state.servers[i];
+        (server.consecutive_saturations, server.last_answered_at) = (0, now);
+        server.error_rate *= 1.0 - ERROR_RATE_WEIGHT;
+        if server.error_rate > MAX_ERROR_RATE {
             return;
         }
-        server.fails = 0;
+        server.consecutive_failures = 0;
         if server.distrust_until > now {
             server.distrust_until = now;
             out.push(Action::Log(format!("trust {} again", server.entry.id)));
         }
-        if server.cold_until == Micros::MAX {
-            server.cold_until = now + cold;
+        if server.warm_up_until == Micros::MAX {
+            server.warm_up_until = now + warm_up;
         }
     }
 }
--- a/src/module/brain/held.rs
+++ b/src/module/brain/held.rs
@@ -1,207 +1,230 @@
 //! Sessions that are held, and who goes first.
 
-use super::choice::LUCK;
-use super::rungs::{CEILING, CHANGE_EVERY, MARK};
+use super::choice::RANDOM_SPREAD;
+use super::rungs::{MAX_LIMIT, MIN_CHANGE_INTERVAL, TOP_RUNG_LIMIT};
 use super::*;
 
 /// Part of a class's aim that a session may be held for its group's turn; the rest is for the set-up.
-const HOLD_PART: f64 = 0.4;
+const MAX_HOLD_SHARE: f64 = 0.4;
 /// Held sessions that a request tries in vain at most, though each might have found room; then all, also the
 /// newcomer, wait for the next look, as it may not overtake them.
-const VAIN_MOST: usize = 256;
+const MAX_FAILED_SEARCHES: usize = 256;
 /// Far above what rounding changes in a rate or a fullness, and far below what matters.
-const ROUNDING: f64 = 1e-9;
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 impl Brain {
-    pub(super) fn request(&mut self, req: Request, out: &mut Vec<Action>) {
-        let id = req.id;
-        if req.class >= self.set.classes.len() || self.book.sessions.contains_key(&id) {
+    pub(super) fn handle_request(&mut self, request: Request, out: &mut Vec<Action>) {
+        let id = request.id;
+        if request.class >= self.settings.classes.len() || self.state.sessions.contains_key(&id) {
             out.push(Action::Refuse { id, retry_after: Micros(0) });
             return;
         }
-        let now = self.book.now;
-        self.book.taken.push_back(now);
-        self.popular(&req);
-        if let Some(sent) = self.book.tenants.get_mut(req.tenant) {
-            *sent = (decayed(sent.0, now - sent.1) + 1.0, now);
+        let now = self.state.now;
+        self.state.recent_requests.push_back(now);
+        self.count_title_request(&request);
+        if let Some(tenant) = self.state.tenants.get_mut(request.tenant) {
+            *tenant = (decayed(tenant.0, now - tenant.1) + 1.0, now);
         }
-        let session = self.session(req, Phase::Held);
+        let session = self.new_session(request, Phase::Held);
         // A viewer whose class floor is above its own top cannot be served.
-        let unable = session.req.top.0 < session.lo;
-        let title = session.req.title.clone();
-        self.book.sessions.insert(id, session);
-        self.book.waiting.push_back(id, title, self.constraints(id));
-        if unable || !self.takes_on(id) {
-            return self.answer(id, out);
+        let cannot_be_served = session.request.top.0 < session.min_rung;
+        let title = session.request.title.clone();
+        self.state.sessions.insert(id, session);
+        self.state.held.push_back(id, title, self.constraints(id));
+        if cannot_be_served || !self.accepts_request(id) {
+            return self.send_final_answer(id, out);
         }
-        self.expect_deadline(id, out);
-        match self.book.waiting.len() {
-            1 => self.serve_one(id, out),
-            _ => self.serve_heads(out),
+        self.schedule_deadline(id, out);
+        match self.state.held.len() {
+            1 => self.try_to_place(id, out),
+            _ => self.serve_first_of_titles(out),
         }
     }
 
     /// Room that has come since the last look goes to those that are held already, in arrival order, or
     /// newcomers would overtake them until their patience ends. Behind one that finds none, none of its
     /// title does. Those that cannot find any, by what all with their constraints see, are passed over.
-    fn serve_heads(&mut self, out: &mut Vec<Action>) {
-        let (mut behind, mut vain, mut outlooks) = (None, 0, None);
-        while vain < VAIN_MOST {
-            let seen = outlooks.get_or_insert_with(|| self.outlooks_behind(behind));
+    fn serve_first_of_titles(&mut self, out: &mut Vec<Action>) {
+        let (mut after, mut failed, mut cache) = (None, 0, None);
+        while failed < MAX_FAILED_SEARCHES {
+            let known = cache.get_or_insert_with(|| self.availability_after(after));
             // Who has waited longest goes first: where its patience has not ended, no other's has.
-            let head = |(of, outlook): (&Constraints, &Outlook)| {
-                let head = self.book.waiting.next_head(of, behind);
-                head.filter(|(_, id)| self.hopeful(*id, *outlook))
+            let next = |(constraints, availability): (&Constraints, &Availability)| {
+                let first = self.state.held.next_first(constraints, after);
+                first.filter(|(_, id)| self.may_find_server(*id, *availability))
             };
-            let Some((turn, id)) = seen.iter().filter_map(head).min() else { return };
-            behind = Some(turn);
-            self.serve_one(id, out);
-            if self.book.waiting.contains(id) {
-                vain += 1;
+            let Some((position, id)) = known.iter().filter_map(next).min() else { return };
+            after = Some(position);
+            self.try_to_place(id, out);
+            if self.state.held.contains(id) {
+                failed += 1;
             } else {
-                outlooks = None;
+                cache = None;
             }
         }
     }
 
-    fn outlooks_behind(&self, behind: Option<Turn>) -> Outlooks {
-        let heads = self.book.waiting.head_constraints();
-        let heads = heads.filter(|of| self.book.waiting.next_head(of, behind).is_some());
-        heads.map(|of| (*of, self.outlook(of))).collect()
+    fn availability_after(&self, after: Option<QueuePosition>) -> AvailabilityByConstraints {
+        let first_of_titles = self.state.held.first_constraints();
+        let first_of_titles =
+            first_of_titles.filter(|constraints| self.state.held.next_first(constraints, after).is_some());
+        first_of_titles.map(|constraints| (*constraints, self.availability(constraints))).collect()
     }
 
     /// What sessions with these constraints find at best, whatever their titles and ids.
-    fn outlook(&self, of: &Constraints) -> Outlook {
-        self.book.searched();
-        if of.expired || of.retry && !self.budget_left() {
-            return Outlook::default();
+    fn availability(&self, constraints: &Constraints) -> Availability {
+        self.state.count_search();
+        if constraints.is_key_window_over || constraints.is_retry && !self.has_retry_budget() {
+            return Availability::default();
         }
-        let in_scope = |i: &usize| of.ran.is_none_or(|ran| self.in_scope(of.class, ran, *i));
-        let found: Vec<usize> = self.taking(of.home, of.copies).filter(in_scope).collect();
-        let live = self.set.classes[of.class].live;
-        let alone = self.set.stream_kb(of.class, 1, of.lowest);
-        let least =
-            if live { alone * self.set.shared_viewer_cost.clamp(0.0, 1.0) * (1.0 - ROUNDING) } else { alone };
-        let trusted = || found.iter().copied().filter(|i| self.trusted(*i));
+        let recognises = |i: &usize| {
+            constraints
+                .possible_run_server
+                .is_none_or(|server| self.recognises_repeat(constraints.class, server, *i))
+        };
+        let candidates: Vec<usize> =
+            self.accepting_servers(constraints.home, constraints.copies).filter(recognises).collect();
+        let live = self.settings.classes[constraints.class].live;
+        let unshared_kb = self.settings.stream_kb(constraints.class, 1, constraints.min_rung);
+        let min_kb = if live {
+            unshared_kb * self.settings.shared_viewer_cost.clamp(0.0, 1.0) * (1.0 - ROUNDING_TOLERANCE)
+        } else {
+            unshared_kb
+        };
+        let trusted = || candidates.iter().copied().filter(|i| self.is_trusted(*i));
         // Luck brings a server before the best one only from so near.
-        let best = trusted().map(|i| self.rank(i, least, 0.0)).fold(f64::MAX, f64::min);
-        let near = |i: usize| live || self.rank(i, least, 0.0) <= best + LUCK + ROUNDING;
-        let room = !of.retry && trusted().any(|i| self.full_after(i, least) <= CEILING && near(i));
-        Outlook { any: !found.is_empty(), room }
+        let best_rank = trusted().map(|i| self.rank(i, min_kb, 0.0)).fold(f64::MAX, f64::min);
+        let is_near_best =
+            |i: usize| live || self.rank(i, min_kb, 0.0) <= best_rank + RANDOM_SPREAD + ROUNDING_TOLERANCE;
+        let has_room = !constraints.is_retry
+            && trusted().any(|i| self.utilization_after(i, min_kb) <= MAX_LIMIT && is_near_best(i));
+        Availability { has_server: !candidates.is_empty(), has_room }
     }
 
-    fn hopeful(&self, id: SessionId, outlook: Outlook) -> bool {
-        let s = &self.book.sessions[&id];
-        self.has_time(s) && (outlook.room || outlook.any && (s.attempts > 0 || self.impatient(s)))
+    fn may_find_server(&self, id: SessionId, availability: Availability) -> bool {
+        let s = &self.state.sessions[&id];
+        self.has_time_for_attempt(s)
+            && (availability.has_room
+                || availability.has_server && (s.attempts > 0 || self.has_waited_enough(s)))
     }
 
-    fn impatient(&self, s: &Session) -> bool {
-        let aim = self.set.classes[s.req.class].slo;
-        self.book.now - s.arrived >= Micros::from_secs(aim.secs() * HOLD_PART)
+    fn has_waited_enough(&self, s: &Session) -> bool {
+        let slo = self.settings.classes[s.request.class].slo;
+        self.state.now - s.arrived_at >= Micros::from_secs(slo.secs() * MAX_HOLD_SHARE)
     }
 
     /// A session whose holder shows room starts at once; so does one that was held for its part of the aim or
     /// sent before. Others wait for their group's turn.
-    pub(super) fn serve_one(&mut self, id: SessionId, out: &mut Vec<Action>) {
-        self.book.searched();
-        let Some(i) = self.holder(id) else { return };
-        let s = &self.book.sessions[&id];
-        let roomy = self.trusted(i) && self.full_after(i, self.adds(i, id, s.lo)) <= CEILING;
-        if roomy || s.attempts > 0 || self.impatient(s) {
-            self.start(id, i, out);
+    pub(super) fn try_to_place(&mut self, id: SessionId, out: &mut Vec<Action>) {
+        self.state.count_search();
+        let Some(i) = self.choose_server(id) else { return };
+        let s = &self.state.sessions[&id];
+        let has_room =
+            self.is_trusted(i) && self.utilization_after(i, self.added_kb(i, id, s.min_rung)) <= MAX_LIMIT;
+        if has_room || s.attempts > 0 || self.has_waited_enough(s) {
+            self.start_attempt(id, i, out);
         }
     }
 
     /// Looks at all held sessions: first for room, then streams go by the groups' shares.
-    pub(super) fn serve(&mut self, out: &mut Vec<Action>) {
-        let mut outlooks = Outlooks::new();
-        for id in self.book.waiting.ids() {
-            let of = self.constraints(id);
-            self.book.waiting.refile(id, of);
-            let outlook = *outlooks.entry(of).or_insert_with(|| self.outlook(&of));
-            if self.hopeful(id, outlook) {
-                self.serve_one(id, out);
-                if !self.book.waiting.contains(id) {
-                    outlooks.clear();
+    pub(super) fn serve_held(&mut self, out: &mut Vec<Action>) {
+        let mut cache = AvailabilityByConstraints::new();
+        for id in self.state.held.ids() {
+            let constraints = self.constraints(id);
+            self.state.held.update_constraints(id, constraints);
+            let availability = *cache.entry(constraints).or_insert_with(|| self.availability(&constraints));
+            if self.may_find_server(id, availability) {
+                self.try_to_place(id, out);
+                if !self.state.held.contains(id) {
+                    cache.clear();
                 }
             }
         }
-        if self.book.waiting.len() == 0 {
+        if self.state.held.len() == 0 {
             return;
         }
-        if self.book.now - self.book.full_logged > CHANGE_EVERY {
-            self.book.full_logged = self.book.now;
+        if self.state.now - self.state.saturation_logged_at > MIN_CHANGE_INTERVAL {
+            self.state.saturation_logged_at = self.state.now;
             out.push(Action::Log("links full: streams go by shares".to_owned()));
         }
-        if self.book.waiting.ids().into_iter().any(|id| self.any_server(id, &mut outlooks)) {
+        if self.state.held.ids().into_iter().any(|id| self.has_server(id, &mut cache)) {
             self.serve_groups(out);
         }
     }
 
-    fn any_server(&self, id: SessionId, outlooks: &mut Outlooks) -> bool {
-        let of = self.constraints(id);
-        outlooks.entry(of).or_insert_with(|| self.outlook(&of)).any
+    fn has_server(&self, id: SessionId, cache: &mut AvailabilityByConstraints) -> bool {
+        let constraints = self.constraints(id);
+        cache.entry(constraints).or_insert_with(|| self.availability(&constraints)).has_server
     }
 
     fn serve_groups(&mut self, out: &mut Vec<Action>) {
-        let mut outlooks = Outlooks::new();
-        let ready = |i: &usize| self.book.servers[*i].entry.state == ServerState::Ready && self.trusted(*i);
-        let ready = (0..self.book.servers.len()).filter(ready);
-        let roomy = ready.filter(|i| self.full_after(*i, 0.0) < MARK).count();
-        let mut spare = roomy;
-        for (titles, used, share) in self.groups(roomy) {
-            let mut room = share - used;
+        let mut cache = AvailabilityByConstraints::new();
+        let ready =
+            |i: &usize| self.state.servers[*i].entry.state == ServerState::Ready && self.is_trusted(*i);
+        let ready = (0..self.state.servers.len()).filter(ready);
+        let servers_with_room = ready.filter(|i| self.utilization_after(*i, 0.0) < TOP_RUNG_LIMIT).count();
+        let mut spare_servers = servers_with_room;
+        for (titles, in_use, share) in self.title_groups(servers_with_room) {
+            let mut streams_left = share - in_use;
             // Arrival order within the group; all of a title's held sessions go at once.
-            let heads = titles.iter().filter_map(|title| Some((self.book.waiting.first_turn(title)?, title)));
-            for (_, title) in heads.collect::<BTreeMap<Turn, &Text>>() {
-                if room < 1.0 && spare == 0 {
+            let first_of_titles =
+                titles.iter().filter_map(|title| Some((self.state.held.first_position(title)?, title)));
+            for (_, title) in first_of_titles.collect::<BTreeMap<QueuePosition, &Text>>() {
+                if streams_left < 1.0 && spare_servers == 0 {
                     break;
                 }
-                for id in self.book.waiting.of_title(title) {
-                    if self.any_server(id, &mut outlooks)
-                        && let Some(i) = self.holder(id)
+                for id in self.state.held.of_title(title) {
+                    if self.has_server(id, &mut cache)
+                        && let Some(i) = self.choose_server(id)
                     {
-                        self.start(id, i, out);
-                        outlooks.clear();
+                        self.start_attempt(id, i, out);
+                        cache.clear();
                     }
                 }
-                spare -= usize::from(room < 1.0);
-                room -= f64::from(u8::from(room >= 1.0));
+                spare_servers -= usize::from(streams_left < 1.0);
+                streams_left -= f64::from(u8::from(streams_left >= 1.0));
             }
         }
     }
 
-    pub(super) fn start(&mut self, id: SessionId, i: usize, out: &mut Vec<Action>) {
-        let s = &self.book.sessions[&id];
-        if !self.seat_free(s.req.class, &s.req.title) || !self.budget_allows(id) || !self.has_time(s) {
+    pub(super) fn start_attempt(&mut self, id: SessionId, i: usize, out: &mut Vec<Action>) {
+        let s = &self.state.sessions[&id];
+        if !self.has_free_seat(s.request.class, &s.request.title)
+            || !self.allows_attempt(id)
+            || !self.has_time_for_attempt(s)
+        {
             return;
         }
-        self.book.waiting.remove(id);
-        let live = self.set.classes[self.book.sessions[&id].req.class].live;
-        let (lo, hi) = (self.book.sessions[&id].lo, self.book.sessions[&id].hi);
-        let join = (lo..=hi).rev().map(|r| (self.sharers(i, id, r), r)).filter(|(n, _)| live && *n > 0).max();
-        let rung = join.map_or(hi, |(_, r)| r);
-        let kb = self.adds(i, id, rung);
-        let (timeout, now) = (self.timeout(id), self.book.now);
-        self.book.shift(i, kb);
-        self.book.servers[i].own.insert(id);
-        self.book.servers[i].sent_at = Some(now);
-        let Some(s) = self.book.sessions.get_mut(&id) else { return };
-        (s.rung, s.server, s.phase, s.started) = (rung, i, Phase::Setup, now);
-        s.tried.push(i);
+        self.state.held.remove(id);
+        let live = self.settings.classes[self.state.sessions[&id].request.class].live;
+        let (min_rung, max_rung) = (self.state.sessions[&id].min_rung, self.state.sessions[&id].max_rung);
+        let shared = (min_rung..=max_rung)
+            .rev()
+            .map(|r| (self.count_sharers(i, id, r), r))
+            .filter(|(n, _)| live && *n > 0)
+            .max();
+        let rung = shared.map_or(max_rung, |(_, r)| r);
+        let kb = self.added_kb(i, id, rung);
+        let (timeout, now) = (self.attempt_timeout(id), self.state.now);
+        self.state.add_own_change(i, kb);
+        self.state.servers[i].sessions.insert(id);
+        self.state.servers[i].last_sent_at = Some(now);
+        let Some(s) = self.state.sessions.get_mut(&id) else { return };
+        (s.rung, s.server, s.phase, s.started_at) = (rung, i, Phase::Setup, now);
+        s.tried_servers.push(i);
         if s.attempts > 0 {
-            self.book.extra.push_back(now);
+            self.state.recent_retries.push_back(now);
         }
         s.attempts += 1;
-        self.sit(id);
-        self.settle(self.book.servers[i].rack, Some((id, kb)), out);
-        let rung = Rung(self.book.sessions[&id].rung);
+        self.take_seat(id);
+        self.cut_rungs(self.state.servers[i].rack, Some((id, kb)), out);
+        let rung = Rung(self.state.sessions[&id].rung);
         out.push(Action::Rate { id, rung });
-        out.push(Action::Send { id, server: self.book.servers[i].entry.id.clone(), timeout });
+        out.push(Action::Send { id, server: self.state.servers[i].entry.id.clone(), timeout });
     }
 
     /// Seats: sessions of one title and class, from the send to the end of the attempt.
-    pub(super) fn seat_free(&self, class: usize, title: &Text) -> bool {
-        self.set.classes[class].seats.is_none_or(|seats| self.book.seats.taken(class, title) < seats)
+    pub(super) fn has_free_seat(&self, class: usize, title: &Text) -> bool {
+        self.settings.classes[class].seats.is_none_or(|seats| self.state.seats.taken(class, title) < seats)
     }
 }
--- a/src/module/brain/retries.rs
+++ b/src/module/brain/retries.rs
@@ -3,99 +3,104 @@
 use super::*;
 
 /// Seconds that a set-up is taken to need before any was seen.
-pub(super) const USUAL_SETUP_S: f64 = 0.1;
+pub(super) const INITIAL_SETUP_S: f64 = 0.1;
 /// Weight of a new set-up in the usual time of one.
-pub(super) const SETUP_LEARNS: f64 = 0.1;
+pub(super) const SETUP_TIME_WEIGHT: f64 = 0.1;
 /// A look that comes so much later than asked tells that this front itself stood still.
-pub(super) const STOOD_STILL: Micros = Micros(150_000);
+pub(super) const PROCESS_STALL: Micros = Micros(150_000);
 /// Time between looks at held sessions, time limits and raises.
-pub(super) const LOOK_EVERY: Micros = Micros(50_000);
+pub(super) const CHECK_INTERVAL: Micros = Micros(50_000);
 /// Part of what is left of the aim that one attempt may take.
-const TRY_PART: f64 = 0.5;
+const ATTEMPT_SLO_SHARE: f64 = 0.5;
 /// An attempt gets at least this multiple of the usual set-up time.
-const TRY_TIMES: f64 = 3.0;
+const MIN_ATTEMPT_SETUP_FACTOR: f64 = 3.0;
 
 impl Brain {
     /// The budget of attempts beyond each session's first, counting the one in question.
-    pub(super) fn budget_allows(&self, id: SessionId) -> bool {
-        self.book.sessions[&id].attempts == 0 || self.budget_left()
+    pub(super) fn allows_attempt(&self, id: SessionId) -> bool {
+        self.state.sessions[&id].attempts == 0 || self.has_retry_budget()
     }
 
     /// Whether the budget has room for one more.
-    pub(super) fn budget_left(&self) -> bool {
-        let Some(budget) = self.set.budget else { return true };
-        let old = |at: &Micros| self.book.now - *at >= budget.span;
-        let lately = |times: &VecDeque<Micros>| times.len() - times.partition_point(old);
-        (lately(&self.book.extra) + 1) as f64 <= budget.floor + budget.ratio * lately(&self.book.taken) as f64
+    pub(super) fn has_retry_budget(&self) -> bool {
+        let Some(budget) = self.settings.budget else { return true };
+        let is_expired = |at: &Micros| self.state.now - *at >= budget.span;
+        let count_recent = |times: &VecDeque<Micros>| times.len() - times.partition_point(is_expired);
+        (count_recent(&self.state.recent_retries) + 1) as f64
+            <= budget.floor + budget.ratio * count_recent(&self.state.recent_requests) as f64
     }
 
     /// An attempt of a repeatable class leaves room for another within the aim; others get all the time.
-    pub(super) fn timeout(&self, id: SessionId) -> Micros {
-        let s = &self.book.sessions[&id];
-        let class = &self.set.classes[s.req.class];
-        let most = self.answer_by(s) - self.book.now;
-        let aim_left = s.arrived + class.slo - self.book.now;
-        let last = s.attempts + 1 >= self.set.max_attempts;
-        if class.idempotency == Idempotency::Unsafe || last || aim_left == Micros(0) {
-            return most;
+    pub(super) fn attempt_timeout(&self, id: SessionId) -> Micros {
+        let s = &self.state.sessions[&id];
+        let class = &self.settings.classes[s.request.class];
+        let time_left = self.answer_by(s) - self.state.now;
+        let slo_left = s.arrived_at + class.slo - self.state.now;
+        let is_last = s.attempts + 1 >= self.settings.max_attempts;
+        if class.idempotency == Idempotency::Unsafe || is_last || slo_left == Micros(0) {
+            return time_left;
         }
-        Micros::from_secs((aim_left.secs() * TRY_PART).max(self.book.setup_s * TRY_TIMES)).min(most)
+        Micros::from_secs(
+            (slo_left.secs() * ATTEMPT_SLO_SHARE).max(self.state.mean_setup_s * MIN_ATTEMPT_SETUP_FACTOR),
+        )
+        .min(time_left)
     }
 
     /// The end of an attempt is not written yet. Where second copies are not allowed the session waits for
     /// that, or for its own time: a server that reads nothing may still set up what it was sent. May hurt
     /// while that server's connection is stalled: it ends soon, and then the next attempt begins.
-    pub(super) fn withdrawing(&mut self, id: SessionId) {
-        if let Some(session) = self.book.sessions.get_mut(&id).filter(|s| s.phase == Phase::Setup) {
+    pub(super) fn handle_withdrawing(&mut self, id: SessionId) {
+        if let Some(session) = self.state.sessions.get_mut(&id).filter(|s| s.phase == Phase::Setup) {
             session.withdrawing = true;
         }
     }
 
-    pub(super) fn outcome(
+    pub(super) fn handle_outcome(
         &mut self,
         id: SessionId,
         server: &ServerId,
-        end: (Status, bool, Load),
+        result: (Status, bool, Load),
         out: &mut Vec<Action>,
     ) {
-        let (status, closed, load) = end;
-        let now = self.book.now;
-        if let Some(&i) = self.book.names.get(server) {
-            let playing = self.book.sessions.get(&id).is_some_and(|s| s.phase == Phase::Playing);
+        let (status, closed, load) = result;
+        let now = self.state.now;
+        if let Some(&i) = self.state.server_indexes.get(server) {
+            let is_playing = self.state.sessions.get(&id).is_some_and(|s| s.phase == Phase::Playing);
             match status {
                 // This front stood still and hears late of all that came meanwhile: no server is to blame.
-                Status::TimedOut if self.book.stood == Some(now) => {}
-                Status::TimedOut if self.missed_one(i, id) => {}
+                Status::TimedOut if self.state.resumed_at == Some(now) => {}
+                Status::TimedOut if self.is_isolated_timeout(i, id) => {}
                 Status::TimedOut => self.distrust(i, "no answer in time", out),
                 Status::ConnectFailed => self.distrust(i, "no connection", out),
                 Status::Reset => self.distrust(i, "connection broke", out),
-                Status::Saturated => self.packed(i),
-                Status::Completed if playing => self.answered(i, out),
-                Status::Errored => self.erred(i, out),
+                Status::Saturated => self.record_saturation(i),
+                Status::Completed if is_playing => self.record_answer(i, out),
+                Status::Errored => self.record_error(i, out),
                 Status::Completed | Status::Cancelled | Status::Moot => {}
             }
-            self.report(i, load);
+            self.apply_load_report(i, load);
         }
-        self.release(id);
-        let Some(s) = self.book.sessions.get(&id) else { return };
-        if closed || s.phase == Phase::Done || s.phase == Phase::Playing {
-            return self.forget(id);
+        self.remove_from_server(id);
+        let Some(s) = self.state.sessions.get(&id) else { return };
+        if closed || s.phase == Phase::Answered || s.phase == Phase::Playing {
+            return self.remove_session(id);
         }
-        self.stand(id);
-        let Some(s) = self.book.sessions.get_mut(&id) else { return };
+        self.free_seat(id);
+        let Some(s) = self.state.sessions.get_mut(&id) else { return };
         if !status.never_ran() {
-            s.ran = s.ran.or(Some((s.server, s.started)));
+            s.possible_run = s.possible_run.or(Some((s.server, s.started_at)));
         }
         (s.phase, s.withdrawing) = (Phase::Held, false);
-        let title = s.req.title.clone();
-        let s = &self.book.sessions[&id];
-        let spent = s.attempts >= self.set.max_attempts || !self.has_time(s);
-        let stuck = s.ran.is_some() && self.set.classes[s.req.class].idempotency == Idempotency::Unsafe;
-        if spent || stuck || !self.budget_allows(id) {
-            self.answer(id, out);
+        let title = s.request.title.clone();
+        let s = &self.state.sessions[&id];
+        let is_exhausted = s.attempts >= self.settings.max_attempts || !self.has_time_for_attempt(s);
+        let must_not_repeat = s.possible_run.is_some()
+            && self.settings.classes[s.request.class].idempotency == Idempotency::Unsafe;
+        if is_exhausted || must_not_repeat || !self.allows_attempt(id) {
+            self.send_final_answer(id, out);
         } else {
-            self.book.waiting.push_front(id, title, self.constraints(id));
-            self.serve_one(id, out);
+            self.state.held.push_front(id, title, self.constraints(id));
+            self.try_to_place(id, out);
         }
     }
 }
--- a/src/module/lateness.rs
+++ b/src/module/lateness.rs
@@ -15,10 +15,10 @@
 
 impl Lateness {
     /// A timer that was due at `due` is handled now.
-    pub(crate) fn note(&mut self, now: Micros, due: Micros) {
-        let late = now - due;
-        if late >= self.expected(now) {
-            *self = Lateness { worst: late, seen_at: now };
+    pub(crate) fn record(&mut self, now: Micros, due: Micros) {
+        let lateness = now - due;
+        if lateness >= self.expected(now) {
+            *self = Lateness { worst: lateness, seen_at: now };
         }
     }
 
