--- a/src/bin/amberspindle-wirehost.rs
+++ b/src/bin/amberspindle-wirehost.rs
@@ -11,27 +11,27 @@
 
 /// Hands one event to its instance; the text of a panic is the error.
 fn deliver(
-    hosts: &mut BTreeMap<Instance, Brain>,
-    who: Instance,
+    brains: &mut BTreeMap<Instance, Brain>,
+    instance: Instance,
     now: Micros,
     incoming: Incoming,
 ) -> Result<Vec<Action>, String> {
     let mut actions = Vec::new();
     match incoming {
         Incoming::Attach { seed, settings } => {
-            hosts.remove(&who);
+            brains.remove(&instance);
             let settings = (*settings)?;
             let brain = catch_unwind(|| Brain::new(settings, seed)).map_err(panic_text)?;
-            hosts.insert(who, brain);
+            brains.insert(instance, brain);
         }
         Incoming::Retire => {
-            hosts.remove(&who);
+            brains.remove(&instance);
         }
         Incoming::Event(event) => {
-            if let Some(brain) = hosts.get_mut(&who) {
-                let run = AssertUnwindSafe(|| brain.handle(now, event, &mut actions));
-                if let Err(panic) = catch_unwind(run) {
-                    hosts.remove(&who);
+            if let Some(brain) = brains.get_mut(&instance) {
+                let handle = AssertUnwindSafe(|| brain.handle(now, event, &mut actions));
+                if let Err(panic) = catch_unwind(handle) {
+                    brains.remove(&instance);
                     return Err(panic_text(panic));
                 }
             }
@@ -51,7 +51,7 @@
     std::panic::set_hook(Box::new(|_| {}));
     let mut reader = Reader::new(io::stdin().lock());
     let mut stdout = io::stdout().lock();
-    let mut hosts = BTreeMap::new();
+    let mut brains = BTreeMap::new();
     loop {
         let batch = match reader.batch() {
             Ok(Some(batch)) => batch,
@@ -62,10 +62,10 @@
             }
         };
         let mut reply = String::new();
-        for (who, incoming) in batch.events {
-            match deliver(&mut hosts, who, batch.now, incoming) {
-                Ok(actions) => actions.iter().for_each(|action| wire::print(who, action, &mut reply)),
-                Err(text) => wire::print_failure(who, &text, &mut reply),
+        for (instance, incoming) in batch.events {
+            match deliver(&mut brains, instance, batch.now, incoming) {
+                Ok(actions) => actions.iter().for_each(|action| wire::print(instance, action, &mut reply)),
+                Err(text) => wire::print_failure(instance, &text, &mut reply),
             }
         }
         wire::print_end(&mut reply);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -67,7 +67,7 @@
 pub struct Reader<R> {
     input: R,
     line: u64,
-    rosters: BTreeMap<u64, Vec<ServerEntry>>,
+    server_lists: BTreeMap<u64, Vec<ServerEntry>>,
 }
 
 type Parsed<T> = Result<T, WireError>;
@@ -75,7 +75,7 @@
 impl<R: BufRead> Reader<R> {
     /// Reads from `input`.
     pub fn new(input: R) -> Reader<R> {
-        Reader { input, line: 0, rosters: BTreeMap::new() }
+        Reader { input, line: 0, server_lists: BTreeMap::new() }
     }
 
     fn next_line(&mut self) -> Parsed<Option<String>> {
@@ -95,10 +95,10 @@
         String::from_utf8(raw).map(Some).map_err(|_| WireError { line, expected: "UTF-8 text".into() })
     }
 
-    fn inside(&mut self, what: &str) -> Parsed<String> {
+    fn required_line(&mut self, expected: &str) -> Parsed<String> {
         match self.next_line()? {
             Some(text) => Ok(text),
-            None => Err(WireError { line: self.line, expected: format!("{what}, not the end of input") }),
+            None => Err(WireError { line: self.line, expected: format!("{expected}, not the end of input") }),
         }
     }
 
@@ -111,109 +111,110 @@
                 Some(text) => break text,
             }
         };
-        let (word, fields) = Fields::split(&text, self.line)?;
-        if word != "BATCH" {
-            return fields.fail("BATCH".into());
+        let (keyword, fields) = Fields::split(&text, self.line)?;
+        if keyword != "BATCH" {
+            return fields.error("BATCH".into());
         }
         let now = fields.time("Now")?;
         let mut events = Vec::new();
         loop {
-            let text = self.inside("an event or EOF_BATCH")?;
-            let (word, fields) = Fields::split(&text, self.line)?;
-            match word {
+            let text = self.required_line("an event or EOF_BATCH")?;
+            let (keyword, fields) = Fields::split(&text, self.line)?;
+            match keyword {
                 "EOF_BATCH" => return Ok(Some(Batch { now, events })),
                 "POOL" => {
-                    let (number, count) = (fields.whole("RosterId")?, fields.whole("NodesList")?);
-                    let roster = self.roster(count)?;
-                    self.rosters.insert(number, roster);
+                    let (number, count) =
+                        (fields.whole_number("RosterId")?, fields.whole_number("NodesList")?);
+                    let servers = self.read_server_list(count)?;
+                    self.server_lists.insert(number, servers);
                 }
                 _ => {
-                    let who = fields.whole("Who")?;
-                    events.push((who, self.event(word, &fields)?));
+                    let instance = fields.whole_number("Who")?;
+                    events.push((instance, self.parse_event(keyword, &fields)?));
                 }
             }
         }
     }
 
-    fn roster(&mut self, count: u64) -> Parsed<Vec<ServerEntry>> {
+    fn read_server_list(&mut self, count: u64) -> Parsed<Vec<ServerEntry>> {
         let mut entries = Vec::new();
         for _ in 0..count {
-            let text = self.inside("SERVER")?;
-            let (word, fields) = Fields::split(&text, self.line)?;
-            if word != "SERVER" {
-                return fields.fail("SERVER".into());
+            let text = self.required_line("SERVER")?;
+            let (keyword, fields) = Fields::split(&text, self.line)?;
+            if keyword != "SERVER" {
+                return fields.error("SERVER".into());
             }
-            entries.push(fields.entry()?);
+            entries.push(fields.server_entry()?);
         }
         Ok(entries)
     }
 
-    fn event(&self, word: &str, f: &Fields<'_>) -> Parsed<Incoming> {
-        let event = match word {
+    fn parse_event(&self, keyword: &str, fields: &Fields<'_>) -> Parsed<Incoming> {
+        let event = match keyword {
             "ATTACH" => {
-                let seed = f.whole("Salt")?;
-                return match serde_json::from_str::<Value>(f.text("Conf")?) {
+                let seed = fields.whole_number("Salt")?;
+                return match serde_json::from_str::<Value>(fields.text("Conf")?) {
                     Ok(conf) => Ok(Incoming::Attach { seed, settings: Box::new(settings(&conf)) }),
-                    Err(_) => f.fail("a JSON object in Conf".into()),
+                    Err(_) => fields.error("a JSON object in Conf".into()),
                 };
             }
             "RETIRE" => return Ok(Incoming::Retire),
             "ENDPOINTS" => {
-                let kind = match f.text("Mode")? {
+                let kind = match fields.text("Mode")? {
                     "D" => ListKind::Changes,
                     "F" => ListKind::Complete,
                     "C" => ListKind::Stale,
                     "X" => ListKind::Failed,
-                    _ => return f.fail("D, F, C or X in Mode".into()),
+                    _ => return fields.error("D, F, C or X in Mode".into()),
                 };
                 let servers = if kind == ListKind::Failed {
                     Vec::new()
                 } else {
-                    match self.rosters.get(&f.whole("RosterId")?) {
+                    match self.server_lists.get(&fields.whole_number("RosterId")?) {
                         Some(list) => list.clone(),
-                        None => return f.fail("the number of an earlier POOL in RosterId".into()),
+                        None => return fields.error("the number of an earlier POOL in RosterId".into()),
                     }
                 };
                 Event::ServerList { kind, servers }
             }
-            "KNOCK" => Event::Request(f.request()?),
-            "EXISTING" => Event::ExistingSession { request: f.request()?, server: f.server()? },
+            "KNOCK" => Event::Request(fields.request()?),
+            "EXISTING" => Event::ExistingSession { request: fields.request()?, server: fields.server_id()? },
             "FIRST_BYTE" => Event::SetUpDone {
-                id: f.session()?,
-                attempt: f.small("SendNo")?,
-                server: f.server()?,
-                took: f.time("TimeTaken")?,
+                id: fields.session_id()?,
+                attempt: fields.small_number("SendNo")?,
+                server: fields.server_id()?,
+                took: fields.time("TimeTaken")?,
             },
             "CHANGE" => {
-                let value = f.number("X")?;
-                let note = match f.whole("Kind")? {
+                let value = fields.number("X")?;
+                let note = match fields.whole_number("Kind")? {
                     1 => Note::Delivered(value),
                     2 => Note::Rung(Rung(value.max(0.0) as usize)),
                     3 => Note::Link(value),
                     4 => Note::Uplink(value),
-                    _ => return f.fail("1 to 4 in Kind".into()),
+                    _ => return fields.error("1 to 4 in Kind".into()),
                 };
-                Event::Note { id: f.session()?, server: f.server()?, note }
+                Event::Note { id: fields.session_id()?, server: fields.server_id()?, note }
             }
             "RESPONSE" => Event::Outcome {
-                id: f.session()?,
-                attempt: f.small("SendNo")?,
-                server: f.server()?,
-                status: f.status()?,
-                took: f.time("TimeTaken")?,
-                closed: f.flag("Ended")?,
-                load: f.load()?,
+                id: fields.session_id()?,
+                attempt: fields.small_number("SendNo")?,
+                server: fields.server_id()?,
+                status: fields.status()?,
+                took: fields.time("TimeTaken")?,
+                closed: fields.flag("Ended")?,
+                load: fields.load()?,
             },
-            "CLIENT_GONE" => Event::ViewerLeft(f.session()?),
-            "DEADLINE_HIT" => Event::Timer(f.whole("Mark")?),
+            "CLIENT_GONE" => Event::ViewerLeft(fields.session_id()?),
+            "DEADLINE_HIT" => Event::Timer(fields.whole_number("Mark")?),
             "PING_RESULT" => Event::Probed {
-                server: f.server()?,
-                status: f.status()?,
-                took: f.time("TimeTaken")?,
-                load: f.load()?,
+                server: fields.server_id()?,
+                status: fields.status()?,
+                took: fields.time("TimeTaken")?,
+                load: fields.load()?,
             },
-            "WHISPER" => Event::Peer { from: f.small("From")?, data: f.bytes()? },
-            _ => return f.fail("the name of an event".into()),
+            "WHISPER" => Event::Peer { from: fields.small_number("From")?, data: fields.bytes()? },
+            _ => return fields.error("the name of an event".into()),
         };
         Ok(Incoming::Event(event))
     }
--- a/src/wire/actions.rs
+++ b/src/wire/actions.rs
@@ -13,42 +13,47 @@
 }
 
 /// Appends an instance's action as one line.
-pub fn print(who: Instance, action: &Action, out: &mut String) {
+pub fn print(instance: Instance, action: &Action, out: &mut String) {
     // Writing to a String cannot fail.
     let _ = match action {
         Action::Send { id, server, timeout } => {
-            writeln!(out, "FORWARD Who={who} Ticket={:016x} Server={server} Timeout={}", id.0, ms(*timeout))
+            writeln!(
+                out,
+                "FORWARD Who={instance} Ticket={:016x} Server={server} Timeout={}",
+                id.0,
+                ms(*timeout)
+            )
         }
         Action::Cancel { id, attempt } => {
-            writeln!(out, "WITHDRAW Who={who} Ticket={:016x} SendNo={attempt}", id.0)
+            writeln!(out, "WITHDRAW Who={instance} Ticket={:016x} SendNo={attempt}", id.0)
         }
         Action::Refuse { id, retry_after } => {
-            writeln!(out, "REJECT Who={who} Ticket={:016x} CoolDown={}", id.0, ms(*retry_after))
+            writeln!(out, "REJECT Who={instance} Ticket={:016x} CoolDown={}", id.0, ms(*retry_after))
         }
-        Action::Fail(id) => writeln!(out, "ABORT Who={who} Ticket={:016x}", id.0),
-        Action::Move(id) => writeln!(out, "SHIFT Who={who} Ticket={:016x}", id.0),
+        Action::Fail(id) => writeln!(out, "ABORT Who={instance} Ticket={:016x}", id.0),
+        Action::Move(id) => writeln!(out, "SHIFT Who={instance} Ticket={:016x}", id.0),
         Action::Rate { id, rung } => {
-            writeln!(out, "CHOOSE_RATE Who={who} Ticket={:016x} TierNo={}", id.0, rung.0)
+            writeln!(out, "CHOOSE_RATE Who={instance} Ticket={:016x} TierNo={}", id.0, rung.0)
         }
         Action::Timer { token, delay } => {
-            writeln!(out, "TIMER Who={who} Mark={token} SleepFor={}", ms(*delay))
+            writeln!(out, "TIMER Who={instance} Mark={token} SleepFor={}", ms(*delay))
         }
-        Action::Probe(server) => writeln!(out, "SAMPLE Who={who} Server={server}"),
-        Action::Close(server) => writeln!(out, "FREE_LINKS Who={who} Server={server}"),
+        Action::Probe(server) => writeln!(out, "SAMPLE Who={instance} Server={server}"),
+        Action::Close(server) => writeln!(out, "FREE_LINKS Who={instance} Server={server}"),
         Action::Tell { to, data } => {
             let octets = if data.is_empty() { "-".to_owned() } else { BASE64.encode(data) };
             let whom = to.map_or(-1, i64::from);
-            writeln!(out, "BROADCAST_TO Who={who} Whom={whom} Octets={octets}")
+            writeln!(out, "BROADCAST_TO Who={instance} Whom={whom} Octets={octets}")
         }
-        Action::Watch(on) => writeln!(out, "STREAM_CHANGES Who={who} On={}", u8::from(*on)),
-        Action::Fetch => writeln!(out, "PULL Who={who}"),
-        Action::Log(text) => writeln!(out, "WRITE_LOG Who={who} What={}", one_line(text)),
+        Action::Watch(on) => writeln!(out, "STREAM_CHANGES Who={instance} On={}", u8::from(*on)),
+        Action::Fetch => writeln!(out, "PULL Who={instance}"),
+        Action::Log(text) => writeln!(out, "WRITE_LOG Who={instance} What={}", one_line(text)),
     };
 }
 
 /// Appends the report that an instance's module has failed.
-pub fn print_failure(who: Instance, text: &str, out: &mut String) {
-    let _ = writeln!(out, "INTERNAL_ERROR Who={who} What={}", one_line(text));
+pub fn print_failure(instance: Instance, text: &str, out: &mut String) {
+    let _ = writeln!(out, "INTERNAL_ERROR Who={instance} What={}", one_line(text));
 }
 
 /// Ends a reply.
--- a/src/wire/conf.rs
+++ b/src/wire/conf.rs
@@ -5,61 +5,61 @@
 use crate::api::Micros;
 
 /// A part of the settings, with its path for messages.
-pub(super) struct Conf<'a> {
+pub(super) struct JsonNode<'a> {
     pub(super) value: &'a Value,
     pub(super) path: String,
 }
 
-impl<'a> Conf<'a> {
-    pub(super) fn bad<T>(&self, what: &str) -> Result<T, String> {
-        Err(format!("{}: {what}", self.path))
+impl<'a> JsonNode<'a> {
+    pub(super) fn error<T>(&self, problem: &str) -> Result<T, String> {
+        Err(format!("{}: {problem}", self.path))
     }
 
-    pub(super) fn find(&self, key: &str) -> Option<Conf<'a>> {
+    pub(super) fn optional(&self, key: &str) -> Option<JsonNode<'a>> {
         let path = if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) };
-        self.value.get(key).filter(|v| !v.is_null()).map(|value| Conf { value, path })
+        self.value.get(key).filter(|v| !v.is_null()).map(|value| JsonNode { value, path })
     }
 
-    pub(super) fn need(&self, key: &str) -> Result<Conf<'a>, String> {
+    pub(super) fn required(&self, key: &str) -> Result<JsonNode<'a>, String> {
         let dot = if self.path.is_empty() { "" } else { "." };
-        self.find(key).ok_or_else(|| format!("{}{dot}{key}: required", self.path))
+        self.optional(key).ok_or_else(|| format!("{}{dot}{key}: required", self.path))
     }
 
     pub(super) fn number(&self) -> Result<f64, String> {
         match self.value.as_f64() {
             Some(x) if x.is_finite() => Ok(x),
-            _ => self.bad("not a number"),
+            _ => self.error("not a number"),
         }
     }
 
-    pub(super) fn whole(&self) -> Result<u32, String> {
+    pub(super) fn whole_number(&self) -> Result<u32, String> {
         match self.value.as_f64() {
             Some(x) if x >= 0.0 && x <= f64::from(u32::MAX) && x.fract() == 0.0 => Ok(x as u32),
-            _ => self.bad("not a whole number of 0 or more"),
+            _ => self.error("not a whole number of 0 or more"),
         }
     }
 
-    pub(super) fn items(&self) -> Result<Vec<Conf<'a>>, String> {
+    pub(super) fn items(&self) -> Result<Vec<JsonNode<'a>>, String> {
         let Some(array) = self.value.as_array() else {
-            return self.bad("not a list");
+            return self.error("not a list");
         };
-        let item = |(i, value)| Conf { value, path: format!("{}[{i}]", self.path) };
+        let item = |(i, value)| JsonNode { value, path: format!("{}[{i}]", self.path) };
         Ok(array.iter().enumerate().map(item).collect())
     }
 
     pub(super) fn numbers(&self) -> Result<Vec<f64>, String> {
-        self.items()?.iter().map(Conf::number).collect()
+        self.items()?.iter().map(JsonNode::number).collect()
     }
 
-    pub(super) fn number_or(&self, key: &str, or: f64) -> Result<f64, String> {
-        self.find(key).map_or(Ok(or), |c| c.number())
+    pub(super) fn number_or(&self, key: &str, default: f64) -> Result<f64, String> {
+        self.optional(key).map_or(Ok(default), |c| c.number())
     }
 
     pub(super) fn time_or_zero(&self, key: &str) -> Result<Micros, String> {
         self.number_or(key, 0.0).map(Micros::from_ms)
     }
 
-    pub(super) fn text_or(&self, key: &str, or: &'a str) -> &'a str {
-        self.find(key).and_then(|c| c.value.as_str()).unwrap_or(or)
+    pub(super) fn text_or(&self, key: &str, default: &'a str) -> &'a str {
+        self.optional(key).and_then(|c| c.value.as_str()).unwrap_or(default)
     }
 }
