--- a/src/broker/decide.rs
+++ b/src/broker/decide.rs
@@ -41,7 +41,7 @@
     }
 
     fn tracked_entries(&self) -> usize {
-        self.size()
+        self.tracked_entries()
     }
 
     fn distrusts(&self, now: Micros, server: &ServerId) -> bool {
--- a/src/module/brain/mod.rs
+++ b/src/module/brain/mod.rs
@@ -114,7 +114,7 @@
     }
 
     /// Servers, sessions or titles that are remembered, whichever are the most.
-    pub fn size(&self) -> usize {
+    pub fn tracked_entries(&self) -> usize {
         let state = &self.state;
         let sessions = state.sessions.len().max(state.deadlines.len());
         state.servers.len().max(state.server_indexes.len()).max(sessions).max(state.titles.len())
