--- a/src/module/brain/mod.rs
+++ b/src/module/brain/mod.rs
@@ -121,7 +121,7 @@
     }
 
     /// Searches for a server so far: how much work events have made.
-    pub fn searches(&self) -> u64 {
+    pub fn search_count(&self) -> u64 {
         self.state.searches.get()
     }
 
--- a/tests/held.rs
+++ b/tests/held.rs
@@ -61,12 +61,12 @@
 /// Searches that one request made which is held too, and one that is sent at once.
 fn searches(held: Held, titles: u64, size: u64) -> [u64; 2] {
     let mut front = front(held, titles, size);
-    let before = front.brain.searches();
+    let before = front.brain.search_count();
     let class = if held == Held::NoSeat { SEATED } else { CLIP };
     assert!(sends(&ask(&mut front, 1_000_000, class, "t0", 0)).is_empty());
-    let between = front.brain.searches();
+    let between = front.brain.search_count();
     assert_eq!(sends(&ask(&mut front, 1_000_001, CLIP, "roomy", 4)).len(), 1);
-    [between - before, front.brain.searches() - between]
+    [between - before, front.brain.search_count() - between]
 }
 
 #[test]
@@ -84,9 +84,9 @@
 #[test]
 fn a_look_searches_once_for_all_that_can_find_nothing() {
     let mut front = front(Held::Packed, 3000, 3000);
-    let before = front.brain.searches();
+    let before = front.brain.search_count();
     front.tell(Event::Timer(0));
-    assert!(front.brain.searches() - before <= 10);
+    assert!(front.brain.search_count() - before <= 10);
 }
 
 /// Of many that could find room by their constraints, but do not, a request tries a bounded number; the newcomer
@@ -107,9 +107,9 @@
         assert!(sends(&ask(&mut front, 10_000 + id, LIVE, &format!("t{id}"), 0)).is_empty());
     }
     front.list((0..2).map(|n| ServerEntry::new(server(n), ServerState::Ready, 0)).collect());
-    let before = front.brain.searches();
+    let before = front.brain.search_count();
     assert!(sends(&ask(&mut front, 20_000, LIVE, "new", 0)).is_empty(), "it overtook");
-    let searches = front.brain.searches() - before;
+    let searches = front.brain.search_count() - before;
     assert!((200..=260).contains(&searches), "{searches} searches for one request");
     front.pass(ms(100));
     assert_eq!(
