--- a/src/module/api/request.rs
+++ b/src/module/api/request.rs
@@ -18,7 +18,7 @@
     /// When the viewer gives this try up.
     pub due: Micros,
     /// A guess of the session's length, seconds.
-    pub hint: Option<f64>,
+    pub duration_hint_s: Option<f64>,
     /// First cell that holds the title.
     pub home: u32,
     /// So many cells in a row hold it.
@@ -43,7 +43,7 @@
             viewer: Text::from(""),
             title,
             due,
-            hint: None,
+            duration_hint_s: None,
             home: 0,
             copies,
             top: Rung(top),
--- a/src/module/brain/mod.rs
+++ b/src/module/brain/mod.rs
@@ -254,6 +254,6 @@
         });
         title.recent_requests = decayed(title.recent_requests, now - title.updated_at) + 1.0;
         title.updated_at = now;
-        title.duration_hint_s = request.hint.unwrap_or(title.duration_hint_s);
+        title.duration_hint_s = request.duration_hint_s.unwrap_or(title.duration_hint_s);
     }
 }
--- a/src/platform/viewer.rs
+++ b/src/platform/viewer.rs
@@ -95,7 +95,7 @@
         }
     }
     request.retry = field("retry").is_some_and(|r| r != "0");
-    request.hint = field("hint").and_then(number).filter(|h| *h > 0.0);
+    request.duration_hint_s = field("hint").and_then(number).filter(|h| *h > 0.0);
     if let Some(server) = at {
         request.copies = copies.unwrap_or(0);
         return Some(ViewerMessage::Playing(request, server));
--- a/src/wire/fields.rs
+++ b/src/wire/fields.rs
@@ -141,7 +141,9 @@
             viewer: Text::from(self.values.get("Item").copied().unwrap_or("")),
             title: Text::from(self.text("Title")?),
             due: self.time("Due")?,
-            hint: self.optional::<f64>("WorkHint", "a number")?.filter(|h| h.is_finite() && *h > 0.0),
+            duration_hint_s: self
+                .optional::<f64>("WorkHint", "a number")?
+                .filter(|h| h.is_finite() && *h > 0.0),
             home: self.small_number("Base")?,
             copies: self.small_number("CellsInRow")?,
             top: Rung(self.small_number("MaxRung")? as usize),
