--- a/src/hook.rs
+++ b/src/hook.rs
@@ -94,7 +94,7 @@
             ("title", (&*request.title).into()),
             ("viewer", (&*request.viewer).into()),
             ("top", top.into()),
-            ("again", request.again.into()),
+            ("again", request.is_returning.into()),
         ];
         let said = self.call("on_request", fields.into_iter().map(|(k, v)| (k.into(), v)).collect())?;
         if said.is_unit() {
--- a/src/module/api/request.rs
+++ b/src/module/api/request.rs
@@ -30,7 +30,7 @@
     /// It is back from a move.
     pub moved: bool,
     /// It is not the viewer's first try.
-    pub again: bool,
+    pub is_returning: bool,
 }
 
 impl Request {
@@ -49,7 +49,7 @@
             top: Rung(top),
             retry: false,
             moved: false,
-            again: false,
+            is_returning: false,
         }
     }
 }
--- a/src/platform/viewer.rs
+++ b/src/platform/viewer.rs
@@ -87,7 +87,7 @@
             "copies" => copies = Some(below(settings.cells.saturating_add(1)).filter(|n| *n > 0)?),
             "top" => request.top = Rung(below(settings.rung_kb.len() as u32)? as usize),
             "viewer" => request.viewer = Text::from(value),
-            "again" => request.again = value != "0",
+            "again" => request.is_returning = value != "0",
             "moved" | "midflow" => request.moved = value != "0",
             "at" => at = Some(ServerId::new(value)),
             // Unknown figures are skipped like unknown fields.
--- a/src/trace/tracer.rs
+++ b/src/trace/tracer.rs
@@ -114,7 +114,7 @@
         let top = request.top.min(most).0 as u64;
         self.sessions.insert(request.id, Traced::asked(now, top));
         let (class, tenant, title) = (class.to_owned(), tenant.to_owned(), request.title.to_string());
-        let (id, left_ms, again) = (named(request.id), ms(request.due - now), request.again);
+        let (id, left_ms, again) = (named(request.id), ms(request.due - now), request.is_returning);
         self.push(now, Event::Asked { id, class, tenant, title, left_ms, again });
     }
 
--- a/src/wire/fields.rs
+++ b/src/wire/fields.rs
@@ -149,7 +149,7 @@
             top: Rung(self.small_number("MaxRung")? as usize),
             retry: self.flag("IsRetry")?,
             moved: self.flag("WasMoved")?,
-            again: self.flag("CameBack")?,
+            is_returning: self.flag("CameBack")?,
         })
     }
 
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -38,7 +38,7 @@
     let Incoming::Event(Event::Request(r)) = one(line) else { panic!("not a request") };
     assert_eq!((r.id, r.class, r.tenant), (SessionId(0xe1e6_5a53_5d3a_91c4), 1, 2));
     assert_eq!((r.due, r.duration_hint_s, r.home, r.copies), (Micros(8_652_250), Some(12.0), 4, 3));
-    assert_eq!((r.top, r.retry, r.moved, r.again), (Rung(2), true, false, true));
+    assert_eq!((r.top, r.retry, r.moved, r.is_returning), (Rung(2), true, false, true));
 }
 
 #[test]
