--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -8,33 +8,33 @@
 
 /// How one run draws its traffic and its processes.
 #[derive(Clone, Copy, Debug)]
-struct Draw {
+struct Scenario {
     processes: u32,
     places: u32,
     seed: u64,
     /// Requests at a time.
-    asks: u64,
+    requests_per_round: u64,
     /// A process that is told to end takes no turn any more.
-    ends_hand_turns_on: bool,
+    stops_turns_on_shutdown: bool,
 }
 
 /// What arrived, and what the settings allow.
-struct Seen {
+struct Arrivals {
     /// When, in microseconds since the start of the server, and how heavy beside the mean.
     arrived: Vec<(u64, f64)>,
     /// Calls that the settings allow within the rule's time at the start.
     budget: f64,
-    fall: u64,
+    window_us: u64,
 }
 
-impl Seen {
+impl Arrivals {
     /// The most that arrived within the rule's time.
-    fn most(&self) -> f64 {
-        let from = |(at, _): &(u64, f64)| {
-            let within = self.arrived.iter().filter(|(t, _)| (*at..*at + self.fall).contains(t));
+    fn max_in_window(&self) -> f64 {
+        let weight_from = |(at, _): &(u64, f64)| {
+            let within = self.arrived.iter().filter(|(t, _)| (*at..*at + self.window_us).contains(t));
             within.map(|(_, weight)| weight).sum()
         };
-        self.arrived.iter().map(from).fold(0.0, f64::max)
+        self.arrived.iter().map(weight_from).fold(0.0, f64::max)
     }
 
     /// The operators' bound: N and twice its root and two.
@@ -43,82 +43,96 @@
     }
 
     /// What arrived over what the pace of the start allows in the time that was played.
-    fn used(&self, played: u64) -> f64 {
-        self.arrived.len() as f64 / (self.budget * played as f64 / self.fall as f64)
+    fn share_of_pace(&self, duration_us: u64) -> f64 {
+        self.arrived.len() as f64 / (self.budget * duration_us as f64 / self.window_us as f64)
     }
 }
 
 /// Plays the cold time of one server, which all processes hear of at different moments, while some are restarted with
 /// the same number and all have more to send than they may.
-fn play(draw: Draw) -> Seen {
-    let mut rng = fastrand::Rng::with_seed(draw.seed);
+fn simulate(scenario: Scenario) -> Arrivals {
+    let mut rng = fastrand::Rng::with_seed(scenario.seed);
     let mut s = settings();
-    (s.broker_count, s.kind_streams) = (draw.processes, vec![draw.places]);
+    (s.broker_count, s.kind_streams) = (scenario.processes, vec![scenario.places]);
     (s.classes[CLIP].slo, s.classes[CLIP].deadline) = (ms(400), ms(1500));
     let started = ms(1_000_000);
     let mut entry = ServerEntry::new(server(0), ServerState::Ready, 0);
     entry.up_since = Some(started);
-    let born = |me: u32, seed: u64, at: Micros, s: &Settings| {
-        let mut front = ModuleHarness::bare(Settings { broker_index: me, ..s.clone() }, seed);
-        front.now = at;
-        front
+    let new_process = |broker_index: u32, seed: u64, at: Micros, s: &Settings| {
+        let mut module = ModuleHarness::bare(Settings { broker_index, ..s.clone() }, seed);
+        module.now = at;
+        module
     };
     // (front, number, when it hears of the start, when it is told to end, when it is gone, traffic)
     struct Process {
-        front: ModuleHarness,
-        me: u32,
-        hears: u64,
-        ends: u64,
-        gone: u64,
-        every: u64,
+        module: ModuleHarness,
+        broker_index: u32,
+        listed_in: u64,
+        shutdown_in: u64,
+        stopped_in: u64,
+        request_interval: u64,
     }
     let mut processes = Vec::new();
-    for me in 0..draw.processes {
+    for broker_index in 0..scenario.processes {
         // Some see several times the mean.
-        let every = if rng.u32(0..5) == 0 { 1 } else { rng.u64(2..8) };
-        let front = born(me, rng.u64(..), started, &s);
-        let ends = if rng.bool() { rng.u64(5..80) } else { u64::MAX };
-        let (hears, gone) = (rng.u64(0..6), u64::MAX);
-        processes.push(Process { front, me, hears, ends, gone, every });
+        let request_interval = if rng.u32(0..5) == 0 { 1 } else { rng.u64(2..8) };
+        let module = new_process(broker_index, rng.u64(..), started, &s);
+        let shutdown_in = if rng.bool() { rng.u64(5..80) } else { u64::MAX };
+        let (listed_in, stopped_in) = (rng.u64(0..6), u64::MAX);
+        processes.push(Process {
+            module,
+            broker_index,
+            listed_in,
+            shutdown_in,
+            stopped_in,
+            request_interval,
+        });
     }
     let mut arrived = Vec::new();
-    let mut id = 0;
+    let mut next_id = 0;
     for round in 0..90_u64 {
         let now = started + ms(round * 100);
-        let mut new = Vec::new();
-        for p in processes.iter_mut().filter(|p| round < p.gone) {
-            if round == p.ends {
-                if draw.ends_hand_turns_on {
-                    p.front.tell(Event::WarmUpTurnsFrom(Micros::MAX));
+        let mut restarted = Vec::new();
+        for p in processes.iter_mut().filter(|p| round < p.stopped_in) {
+            if round == p.shutdown_in {
+                if scenario.stops_turns_on_shutdown {
+                    p.module.tell(Event::WarmUpTurnsFrom(Micros::MAX));
                 }
                 // Requests on open connections come for a while, and those that wait have their time.
-                p.gone = round + 20;
-                let front = born(p.me, rng.u64(..), now, &s);
-                let (hears, ends, gone) = (round, u64::MAX, u64::MAX);
-                new.push(Process { front, me: p.me, hears, ends, gone, every: p.every });
+                p.stopped_in = round + 20;
+                let module = new_process(p.broker_index, rng.u64(..), now, &s);
+                let (listed_in, shutdown_in, stopped_in) = (round, u64::MAX, u64::MAX);
+                restarted.push(Process {
+                    module,
+                    broker_index: p.broker_index,
+                    listed_in,
+                    shutdown_in,
+                    stopped_in,
+                    request_interval: p.request_interval,
+                });
             }
-            if round == p.hears {
-                p.front.list(vec![entry.clone()]);
+            if round == p.listed_in {
+                p.module.list(vec![entry.clone()]);
             }
             let mut out = Vec::new();
-            if round >= p.hears && (round + u64::from(p.me)) % p.every == 0 {
-                for _ in 0..draw.asks {
-                    id += 1;
-                    out.extend(p.front.ask(id, CLIP, &format!("t{}", id % 9)));
+            if round >= p.listed_in && (round + u64::from(p.broker_index)) % p.request_interval == 0 {
+                for _ in 0..scenario.requests_per_round {
+                    next_id += 1;
+                    out.extend(p.module.ask(next_id, CLIP, &format!("t{}", next_id % 9)));
                 }
             }
-            let from = p.front.now;
-            out.extend(p.front.pass(ms(100)));
-            for (of, _) in sends(&out) {
+            let round_start = p.module.now;
+            out.extend(p.module.pass(ms(100)));
+            for (id, _) in sends(&out) {
                 // Connections take their time to come up; sessions differ in weight.
-                let at = (from - started).0 + rng.u64(0..400_000);
+                let at = (round_start - started).0 + rng.u64(0..400_000);
                 let weight = [0.4, 0.7, 1.0, 1.3, 1.6][rng.usize(0..5)];
                 arrived.push((at, weight));
                 // The server is slow, then full of it: it starts it, and it is over.
                 let took = ms(50);
-                p.front.tell(Event::SetUpDone { id: of, attempt: 0, server: server(0), took });
-                p.front.tell(Event::Outcome {
-                    id: of,
+                p.module.tell(Event::SetUpDone { id, attempt: 0, server: server(0), took });
+                p.module.tell(Event::Outcome {
+                    id,
                     attempt: 0,
                     server: server(0),
                     status: Status::Completed,
@@ -128,65 +142,82 @@
                 });
             }
         }
-        for mut p in new {
-            p.front.list(vec![entry.clone()]);
-            p.front.pass(ms(100));
+        for mut p in restarted {
+            p.module.list(vec![entry.clone()]);
+            p.module.pass(ms(100));
             processes.push(p);
         }
     }
-    let pace = f64::from(draw.places) / s.warm_up.secs() * s.initial_capacity * s.overload_factor;
-    Seen { arrived, budget: pace * s.overload_window.secs(), fall: s.overload_window.0 }
+    let pace = f64::from(scenario.places) / s.warm_up.secs() * s.initial_capacity * s.overload_factor;
+    Arrivals { arrived, budget: pace * s.overload_window.secs(), window_us: s.overload_window.0 }
 }
 
-const PLAYED: u64 = 9_000_000;
+const SIMULATED_US: u64 = 9_000_000;
 
-fn hold(processes: u32, seeds: u64, least_used: f64) {
+fn assert_pace_kept_and_used(processes: u32, seeds: u64, min_share: f64) {
     for places in [6, 30, 120] {
-        let mut used = 0.0;
+        let mut share = 0.0;
         for seed in 0..seeds {
-            let draw = Draw { processes, places, seed, asks: 1, ends_hand_turns_on: true };
-            let seen = play(draw);
-            assert!(seen.most() <= seen.bound(), "{draw:?}: {} of {}", seen.most(), seen.bound());
-            used += seen.used(PLAYED) / seeds as f64;
+            let scenario =
+                Scenario { processes, places, seed, requests_per_round: 1, stops_turns_on_shutdown: true };
+            let arrivals = simulate(scenario);
+            assert!(
+                arrivals.max_in_window() <= arrivals.bound(),
+                "{scenario:?}: {} of {}",
+                arrivals.max_in_window(),
+                arrivals.bound()
+            );
+            share += arrivals.share_of_pace(SIMULATED_US) / seeds as f64;
         }
-        println!("{processes} processes, {places} places: {used:.2} of the pace is used");
-        assert!(used >= least_used, "{processes} processes, {places} places use {used} of the pace");
+        println!("{processes} processes, {places} places: {share:.2} of the pace is used");
+        assert!(
+            share >= min_share,
+            "{processes} processes, {places} places: only {share} of the pace is used"
+        );
     }
 }
 
 #[test]
-fn one_two_and_three_processes_keep_the_pace_and_use_it() {
+fn one_to_three_processes_stay_within_warm_up_pace_and_use_it() {
     for processes in [1, 2, 3] {
-        hold(processes, 40, 0.3);
+        assert_pace_kept_and_used(processes, 40, 0.3);
     }
 }
 
 #[test]
-fn twenty_and_thirty_processes_keep_the_pace_and_use_it() {
+fn twenty_and_thirty_processes_stay_within_warm_up_pace_and_use_it() {
     for processes in [20, 30] {
-        hold(processes, 6, 0.25);
+        assert_pace_kept_and_used(processes, 6, 0.25);
     }
 }
 
 #[test]
-fn three_hundred_processes_keep_the_pace_and_use_it() {
-    hold(300, 1, 0.2);
+fn three_hundred_processes_stay_within_warm_up_pace_and_use_it() {
+    assert_pace_kept_and_used(300, 1, 0.2);
 }
 
 /// The checker finds what it is for: a process that is told to end and goes on with its turns, which are those of the
 /// one that takes its number.
 #[test]
-fn a_number_that_two_processes_use_at_a_time_is_found() {
-    let most = |ends_hand_turns_on| {
-        let play = |seed| play(Draw { processes: 1, places: 400, seed, asks: 16, ends_hand_turns_on });
-        let seen: Vec<Seen> = (0..20).map(play).collect();
-        let over = seen.iter().filter(|s| s.most() > s.bound()).count();
+fn finds_overload_when_two_processes_use_one_broker_index() {
+    let overloaded_runs = |stops_turns_on_shutdown| {
+        let run = |seed| {
+            simulate(Scenario {
+                processes: 1,
+                places: 400,
+                seed,
+                requests_per_round: 16,
+                stops_turns_on_shutdown,
+            })
+        };
+        let runs: Vec<Arrivals> = (0..20).map(run).collect();
+        let overloaded = runs.iter().filter(|s| s.max_in_window() > s.bound()).count();
         println!(
-            "{over} of 20 over the bound; most {:?}",
-            seen.iter().map(|s| s.most() / s.bound()).fold(0.0, f64::max)
+            "{overloaded} of 20 over the bound; most {:?}",
+            runs.iter().map(|s| s.max_in_window() / s.bound()).fold(0.0, f64::max)
         );
-        over
+        overloaded
     };
-    assert_eq!(most(true), 0);
-    assert!(most(false) > 0, "two processes with one number stay unseen");
+    assert_eq!(overloaded_runs(true), 0);
+    assert!(overloaded_runs(false) > 0, "the checker misses two processes with one broker index");
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -7,17 +7,17 @@
 use amberspindle::wire::{Batch, Incoming, Reader, print, settings};
 use serde_json::{Value, json};
 
-fn read(text: &str) -> Result<Option<Batch>, String> {
+fn read_batch(text: &str) -> Result<Option<Batch>, String> {
     Reader::new(text.as_bytes()).batch().map_err(|e| e.to_string())
 }
 
-fn one(line: &str) -> Incoming {
-    let batch = read(&format!("BATCH Now=12.5\n{line}\nEOF_BATCH\n")).unwrap().unwrap();
+fn read_message(line: &str) -> Incoming {
+    let batch = read_batch(&format!("BATCH Now=12.5\n{line}\nEOF_BATCH\n")).unwrap().unwrap();
     assert_eq!(batch.now, Micros(12_500));
     batch.events.into_iter().next().unwrap().1
 }
 
-fn conf() -> Value {
+fn settings_json() -> Value {
     json!({
         "Instances": 2, "SlotNo": 1, "Locality": 0, "Period": 10.0, "Unheard": {"Of": 1},
         "FamilyInfo": {"LadderKb": [100.0, 200.0], "LadderWorth": [0.4, 1.0], "Places": 3, "Racks": 1,
@@ -32,22 +32,22 @@
 }
 
 #[test]
-fn a_request_with_unknown_fields_is_read() {
+fn reads_request_and_ignores_unknown_fields() {
     let line = "KNOCK Who=3 Later=9 Ticket=e1e65a535d3a91c4 Cls=1 Realm=2 Item=v-k Title=c:c0 Due=8652.25 \
                 WorkHint=12.0 Base=4 CellsInRow=3 MaxRung=2 IsRetry=1 CameBack=1";
-    let Incoming::Event(Event::Request(r)) = one(line) else { panic!("not a request") };
+    let Incoming::Event(Event::Request(r)) = read_message(line) else { panic!("not a request") };
     assert_eq!((r.id, r.class, r.tenant), (SessionId(0xe1e6_5a53_5d3a_91c4), 1, 2));
     assert_eq!((r.due, r.duration_hint_s, r.home, r.copies), (Micros(8_652_250), Some(12.0), 4, 3));
     assert_eq!((r.top, r.retry, r.moved, r.is_returning), (Rung(2), true, false, true));
 }
 
 #[test]
-fn numbered_lists_are_resolved_in_order_of_events() {
+fn resolves_numbered_server_lists_in_order_of_events() {
     let text = "BATCH Now=1\nPOOL RosterId=0 NodesList=1\nSERVER RackZone=0 Server=a:1 Condition=healthy SlotNo=2\n\
                 ENDPOINTS Who=1 SeqNo=1 RosterId=0 Mode=C\nPOOL RosterId=0 NodesList=1\n\
                 SERVER RackZone=1 Server=b:1 Condition=cordoned Size=1.5 UpSince=6.5\n\
                 ENDPOINTS Who=1 SeqNo=2 RosterId=0 Mode=D\nENDPOINTS Who=1 SeqNo=2 RosterId=0 Mode=X\nEOF_BATCH\n";
-    let events = read(text).unwrap().unwrap().events;
+    let events = read_batch(text).unwrap().unwrap().events;
     let lists: Vec<(ListKind, Vec<ServerEntry>)> = events
         .into_iter()
         .map(|(_, e)| match e {
@@ -62,10 +62,10 @@
 }
 
 #[test]
-fn outcomes_and_notes_are_read() {
+fn reads_outcomes_and_notes() {
     let line = "RESPONSE Who=3 Ticket=000000000000000a SendNo=2 Server=a:1 Ending=refused_conn TimeTaken=18.5 \
                 Ended=1 Load=x0:0.4,rif:7,odd:1";
-    let Incoming::Event(Event::Outcome { id, attempt, status, closed, load, .. }) = one(line) else {
+    let Incoming::Event(Event::Outcome { id, attempt, status, closed, load, .. }) = read_message(line) else {
         panic!("not an outcome")
     };
     assert_eq!((id, attempt, status, closed), (SessionId(10), 2, Status::ConnectFailed, true));
@@ -74,18 +74,20 @@
         [(1, Note::Delivered(2.0)), (2, Note::Rung(Rung(2))), (3, Note::Link(2.0)), (4, Note::Uplink(2.0))]
     {
         let line = format!("CHANGE Who=3 Ticket=000000000000000a SendNo=0 Server=a:1 Kind={kind} X=2");
-        let Incoming::Event(Event::Note { note: read, .. }) = one(&line) else { panic!("not a note") };
+        let Incoming::Event(Event::Note { note: read, .. }) = read_message(&line) else {
+            panic!("not a note")
+        };
         assert_eq!(read, note);
     }
     assert_eq!(
-        one("WHISPER Who=1 From=2 Octets=aGk="),
+        read_message("WHISPER Who=1 From=2 Octets=aGk="),
         Incoming::Event(Event::Peer { from: 2, data: b"hi".to_vec() })
     );
-    assert_eq!(one("RETIRE Who=1"), Incoming::Retire);
+    assert_eq!(read_message("RETIRE Who=1"), Incoming::Retire);
 }
 
 #[test]
-fn every_action_is_printed() {
+fn prints_every_action() {
     let id = SessionId(10);
     let to = ServerId::new("a:1");
     for (action, line) in [
@@ -117,7 +119,7 @@
 }
 
 #[test]
-fn what_is_malformed_is_named_with_its_line() {
+fn reports_line_of_malformed_input() {
     for (text, message) in [
         ("HELLO\n", "line 1: expected BATCH"),
         ("BATCH\n", "line 1: expected a field Now"),
@@ -132,14 +134,14 @@
         ("BATCH Now=1\nPOOL RosterId=0 NodesList=2\nEOF_BATCH\n", "line 3: expected SERVER"),
         ("BATCH Now=1\nRETIRE Who=1\n", "line 3: expected an event or EOF_BATCH, not the end of input"),
     ] {
-        assert_eq!(read(text).unwrap_err(), message);
+        assert_eq!(read_batch(text).unwrap_err(), message);
     }
-    assert_eq!(read("").unwrap(), None);
+    assert_eq!(read_batch("").unwrap(), None);
 }
 
 #[test]
-fn settings_are_read_and_unknown_keys_ignored() {
-    let s = settings(&conf()).unwrap();
+fn reads_settings_and_ignores_unknown_keys() {
+    let s = settings(&settings_json()).unwrap();
     assert_eq!((s.broker_count, s.broker_index, s.max_attempts), (2, 1, 4));
     assert_eq!(s.classes[0].idempotency, Idempotency::Unsafe);
     assert_eq!((s.classes[0].top, s.classes[0].seats, s.classes[0].scale), (Rung(1), None, 1.5));
@@ -149,9 +151,9 @@
 }
 
 #[test]
-fn settings_that_cannot_work_name_the_key() {
-    type Spoil = fn(&mut Value);
-    let cases: [(Spoil, &str); 6] = [
+fn names_key_of_invalid_settings() {
+    type Corrupt = fn(&mut Value);
+    let cases: [(Corrupt, &str); 6] = [
         (|c| c["FamilyInfo"]["LadderKb"] = json!([]), "FamilyInfo.LadderKb: empty"),
         (
             |c| c["FamilyInfo"]["LadderWorth"] = json!([1.0]),
@@ -162,14 +164,14 @@
         (|c| c["Instances"] = json!(0), "Instances: zero"),
         (|c| c["RequestClasses"][0]["Slo"] = json!("soon"), "RequestClasses[0].Slo: not a number"),
     ];
-    for (spoil, message) in cases {
-        let mut conf = conf();
-        spoil(&mut conf);
-        assert_eq!(settings(&conf).unwrap_err(), message);
+    for (corrupt, message) in cases {
+        let mut json_settings = settings_json();
+        corrupt(&mut json_settings);
+        assert_eq!(settings(&json_settings).unwrap_err(), message);
     }
 }
 
-fn adapter(input: &str) -> Output {
+fn run_wirehost(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_amberspindle-wirehost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -181,8 +183,8 @@
 }
 
 #[test]
-fn the_adapter_serves_and_ends_with_its_input() {
-    let (good, mut bad) = (conf(), conf());
+fn wirehost_serves_until_end_of_input() {
+    let (good, mut bad) = (settings_json(), settings_json());
     bad["FamilyInfo"]["LadderKb"] = json!([]);
     let input = format!(
         "BATCH Now=1000\nATTACH Who=0 Salt=5 Conf={good}\nATTACH Who=1 Salt=5 Conf={bad}\n\
@@ -190,7 +192,7 @@
          ENDPOINTS Who=0 SeqNo=1 RosterId=0 Mode=C\n\
          KNOCK Who=0 Ticket=000000000000000a Cls=0 Title=t Due=4000 Base=0 CellsInRow=3 MaxRung=1\nEOF_BATCH\n"
     );
-    let run = adapter(&input);
+    let run = run_wirehost(&input);
     let out = String::from_utf8(run.stdout).unwrap();
     assert!(run.status.success());
     assert!(out.contains("FORWARD Who=0 Ticket=000000000000000a Server=a:1"), "{out}");
@@ -199,8 +201,8 @@
 }
 
 #[test]
-fn the_adapter_stops_at_malformed_input_with_one_line() {
-    let run = adapter("BATCH Now=1\nKNOCK Who=0 Ticket=zz\n");
+fn wirehost_fails_with_one_line_on_malformed_input() {
+    let run = run_wirehost("BATCH Now=1\nKNOCK Who=0 Ticket=zz\n");
     assert!(!run.status.success());
     assert_eq!(String::from_utf8(run.stderr).unwrap(), "line 2: expected 16 hex digits in Ticket\n");
     assert!(run.stdout.is_empty());
