--- a/src/module/api.rs
+++ b/src/module/api.rs
@@ -1,4 +1,5 @@
-//! The interface of the decision module: settings, events and actions. Plain types, no policy, no wire words.
+//! The interface of the decision module: settings, events and actions. They are plain types without policy
+//! and without names from the wire.
 
 mod actions;
 mod class;
--- a/src/module/api/actions.rs
+++ b/src/module/api/actions.rs
@@ -2,65 +2,65 @@
 
 use super::{Micros, Rung, ServerId, SessionId};
 
-/// What a front is to do.
+/// An action that the broker is to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Ask a server to start the session.
+    /// Sends a set-up of the session to a server.
     Send {
         /// The session.
         id: SessionId,
         /// The server.
         server: ServerId,
-        /// Time-out of this attempt.
+        /// The timeout of this attempt.
         timeout: Micros,
     },
-    /// Stop waiting for an attempt.
+    /// Withdraws an attempt: its answer is no longer awaited.
     Cancel {
         /// The session.
         id: SessionId,
-        /// Its attempt.
+        /// The attempt, counted within the session.
         attempt: u32,
     },
-    /// Final answer: refused; coming again is harmless.
+    /// Final answer: refused. The viewer may safely ask again.
     Refuse {
         /// The session.
         id: SessionId,
-        /// Advice to stay away; zero: none.
+        /// How long the viewer is advised to wait before it asks again; zero gives no advice.
         retry_after: Micros,
     },
     /// Final answer: failed.
     Fail(SessionId),
-    /// Take the session off its server; its viewer comes back.
+    /// Removes the session from its server; its viewer asks again.
     Move(SessionId),
-    /// Set the rung.
+    /// Sets the rung of a session.
     Rate {
         /// The session.
         id: SessionId,
         /// The rung.
         rung: Rung,
     },
-    /// Ask for [`Event::Timer`](super::Event::Timer).
+    /// Requests an [`Event::Timer`](super::Event::Timer).
     Timer {
-        /// Comes back with the event.
+        /// Returned in the event.
         token: u64,
-        /// From now.
+        /// The time from now until the event.
         delay: Micros,
     },
-    /// Ask a server how it is.
+    /// Requests a load report from a server.
     Probe(ServerId),
-    /// Close idle connections to a server.
+    /// Closes idle connections to a server.
     Close(ServerId),
-    /// Write to one front, or to all others.
+    /// Sends a message to one other broker or to all others.
     Tell {
-        /// The receiver; none: all.
+        /// The receiving broker; `None` stands for all others.
         to: Option<u32>,
-        /// The message, 256 bytes at most.
+        /// The message, at most 256 bytes.
         data: Vec<u8>,
     },
-    /// Ask for news of the list, or stop asking.
+    /// Starts or stops asking for changes to the server list.
     Watch(bool),
-    /// Ask for the complete list once.
+    /// Requests the complete server list once.
     Fetch,
-    /// A line for the operators' log.
+    /// Writes a line to the operators' log.
     Log(String),
 }
--- a/src/module/api/class.rs
+++ b/src/module/api/class.rs
@@ -1,59 +1,59 @@
-//! Classes of sessions and tenants: deadlines, worth, and what a repeated set-up does.
+//! Classes of sessions and tenants: deadlines, worth, and whether a set-up may be repeated.
 
 use super::{Micros, Rung};
 
-/// What a repeated set-up of a class does.
+/// Whether a set-up of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing bad: it may be sent again and refused freely.
+    /// Repeats have no effect: a set-up may be sent again, and it may be refused at any time.
     Safe,
-    /// Harmless within a group of servers and for some time.
+    /// Repeats have no effect within a group of servers and a limited time, by an idempotency key.
     Keyed {
         /// The servers that recognise a repeat.
         scope: KeyScope,
-        /// For how long they do.
+        /// How long they recognise it.
         window: Micros,
     },
-    /// It must not happen twice.
+    /// A set-up must not run twice.
     Unsafe,
 }
 
 /// The servers that recognise the repeat of a keyed set-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// All of them.
+    /// All servers.
     All,
-    /// Those of the first server's zone.
+    /// The servers in the zone of the first server.
     Zone,
-    /// Those of the first server's cell.
+    /// The servers in the cell of the first server.
     Cell,
 }
 
 /// A class of sessions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// A set-up is wanted within this.
+    /// The objective for the time of a set-up.
     pub slo: Micros,
-    /// The viewer gives a try up after this.
+    /// How long the viewer waits for an answer to a request.
     pub deadline: Micros,
-    /// What a repeat does.
+    /// Whether a set-up may be repeated.
     pub idempotency: Idempotency,
-    /// Worth of a second at a rung of worth 1.
+    /// The worth of one second at a rung of worth 1.
     pub worth: f64,
-    /// Its titles are live, so that viewers share a stream.
+    /// Whether its titles are live, so that viewers share a stream.
     pub live: bool,
-    /// Its rates over those of the ladder.
+    /// The factor of its rates to those of the ladder.
     pub scale: f64,
-    /// Lowest rung that may be set.
+    /// The lowest rung that may be set.
     pub floor: Rung,
-    /// Highest rung.
+    /// The highest rung.
     pub top: Rung,
-    /// Sessions of one title that a front may hold; none: no cap.
+    /// The number of sessions of one title that a broker may run; `None` sets no limit.
     pub seats: Option<u32>,
 }
 
 impl Class {
-    /// A class of worth 1 with no terms, recorded titles and every rung.
+    /// Returns a class of worth 1 with recorded titles, every rung, and no limit on seats.
     pub fn new(slo: Micros, deadline: Micros, idempotency: Idempotency) -> Class {
         Class {
             slo,
@@ -69,9 +69,9 @@
     }
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second over all fronts that count as within its share; none: no limit.
+    /// Requests a second, over all brokers, that count as within its quota; `None` sets no limit.
     pub quota_per_s: Option<f64>,
 }
--- a/src/module/api/events.rs
+++ b/src/module/api/events.rs
@@ -2,82 +2,84 @@
 
 use super::{ListKind, Load, Micros, Note, Request, ServerEntry, ServerId, SessionId, Settings, Status};
 
-/// What a front hears.
+/// An event that the broker reports to the module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the list of servers.
+    /// The server list, or changes to it.
     ServerList {
-        /// What it carries.
+        /// What the list contains.
         kind: ListKind,
         /// The entries.
         servers: Vec<ServerEntry>,
     },
-    /// A viewer asks for a session.
+    /// A viewer requests a session.
     Request(Request),
-    /// A session that plays when the front starts.
+    /// A session that was already playing when the broker started.
     ExistingSession {
-        /// Its request.
+        /// The request of the session.
         request: Request,
-        /// Its server.
+        /// The server of the session.
         server: ServerId,
     },
-    /// A set-up is done: the viewer watches.
+    /// A set-up succeeded and the session plays.
     SetUpDone {
         /// The session.
         id: SessionId,
-        /// Its attempt.
+        /// The attempt, counted within the session.
         attempt: u32,
         /// The server.
         server: ServerId,
-        /// Time since it was sent.
+        /// The time since the set-up was sent.
         took: Micros,
     },
-    /// A note on a session.
+    /// A server's note about a session.
     Note {
         /// The session.
         id: SessionId,
         /// The server.
         server: ServerId,
-        /// What it tells.
+        /// The content of the note.
         note: Note,
     },
     /// An attempt ended.
     Outcome {
         /// The session.
         id: SessionId,
-        /// Its attempt.
+        /// The attempt, counted within the session.
         attempt: u32,
         /// The server.
         server: ServerId,
         /// How it ended.
         status: Status,
-        /// Time since it was sent.
+        /// The time since the set-up was sent.
         took: Micros,
-        /// The session has ended; else an answer is still owed.
+        /// Whether the session has ended; otherwise the viewer is still owed an answer.
         closed: bool,
-        /// The server's report, if one came.
+        /// The server's load report; empty if none came.
         load: Load,
     },
-    /// An attempt is given up, and its end is not written yet: no other can be sent before its outcome.
+    /// An attempt is withdrawn, but the withdrawal is not written to the server yet: no other attempt can be
+    /// sent before its outcome.
     Withdrawing(SessionId),
     /// The viewer left, or its time is over.
     ViewerLeft(SessionId),
-    /// A timer has run down.
+    /// A timer has expired; the value is its token.
     Timer(u64),
-    /// How many brokers there are, and which of them this one is:
-    /// [`Settings::broker_count`] and [`Settings::broker_index`] anew.
+    /// The number of brokers and the index of this one among them: new values of [`Settings::broker_count`]
+    /// and [`Settings::broker_index`].
     FleetPosition {
-        /// How many; not 0.
+        /// The number of brokers; not 0.
         count: u32,
-        /// Its number, from 0.
+        /// The index of this broker, from 0.
         place: u32,
     },
-    /// New settings. Classes and tenants keep their numbers while any session refers to them; cells, racks and the
-    /// ladder stay as they are.
+    /// New settings. Classes and tenants keep their numbers while any session refers to them; cells, racks
+    /// and the ladder stay as they are.
     Settings(Box<Settings>),
-    /// Cold turns are this front's if they begin then or later; [`Micros::MAX`]: none.
+    /// Warm-up turns belong to this process if they begin at this time or later; [`Micros::MAX`] means none
+    /// does.
     WarmUpTurnsFrom(Micros),
-    /// This front was told to end: by then each request must have its answer.
+    /// This process shuts down: each request must have its answer by this time.
     ShutdownDeadline(Micros),
     /// A probe ended.
     Probed {
@@ -85,16 +87,16 @@
         server: ServerId,
         /// How it ended.
         status: Status,
-        /// Time since it was sent.
+        /// The time since the probe was sent.
         took: Micros,
-        /// The server's report, if one came.
+        /// The server's load report; empty if none came.
         load: Load,
     },
-    /// A message from another front.
+    /// A message from another broker.
     Peer {
-        /// The sender's number.
+        /// The index of the sender.
         from: u32,
-        /// What it wrote.
+        /// The message.
         data: Vec<u8>,
     },
 }
--- a/src/module/api/ids.rs
+++ b/src/module/api/ids.rs
@@ -1,4 +1,4 @@
-//! Names and numbers of servers, sessions and rungs.
+//! Identifiers of servers, sessions and rungs.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,12 +6,12 @@
 /// Shared immutable text.
 pub type Text = Arc<str>;
 
-/// A server's name; opaque.
+/// The name of a server; opaque.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub Text);
 
 impl ServerId {
-    /// Names a server.
+    /// Returns the identifier for a server name.
     pub fn new(name: &str) -> ServerId {
         ServerId(Text::from(name))
     }
@@ -23,7 +23,7 @@
     }
 }
 
-/// One try of a viewer for a session; never used twice.
+/// One request of a viewer for a session; never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
--- a/src/module/api/outcome.rs
+++ b/src/module/api/outcome.rs
@@ -1,4 +1,4 @@
-//! How attempts end, and what servers report of their load and of sessions.
+//! How attempts end, and what servers report about their load and about sessions.
 
 use super::Rung;
 use crate::mutant::{self, Mutant};
@@ -6,61 +6,61 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Served to its end.
+    /// The session was served to its end.
     Completed,
     /// The server answered with an error.
     Errored,
-    /// Turned away unseen.
+    /// The server rejected the set-up without starting it.
     Saturated,
-    /// No answer in time.
+    /// No answer came in time.
     TimedOut,
-    /// No connection.
+    /// No connection could be made.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection was lost.
     Reset,
-    /// Cancelled, moved, or left by its viewer.
+    /// The attempt was cancelled, the session moved, or the viewer left.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     Moot,
 }
 
 impl Status {
-    /// It proves that the attempt never ran.
+    /// Whether this status proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Status::Saturated | Status::ConnectFailed | Status::Moot)
             || (self == Status::Reset && mutant::on(Mutant::ResetNeverRan))
     }
 }
 
-/// A server's load report; what it does not report is absent.
+/// A server's load report; values that it does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Streams that it runs or sets up.
+    /// The number of streams that it runs or sets up.
     pub inflight: Option<f64>,
-    /// Set-ups waiting.
+    /// The number of waiting set-ups.
     pub queue: Option<f64>,
-    /// Share of its link that is asked, 1 at most.
+    /// The utilization of its link, at most 1.
     pub util: Option<f64>,
-    /// Recent time of a set-up, milliseconds.
+    /// The recent time of a set-up, in milliseconds.
     pub latency_ms: Option<f64>,
-    /// Set-ups a second.
+    /// Set-ups per second.
     pub rate: Option<f64>,
-    /// Failed set-ups a second.
+    /// Failed set-ups per second.
     pub fail_rate: Option<f64>,
-    /// What is asked of its link over what that gives.
+    /// The demand on its link divided by the rate that the link delivers.
     pub link: Option<f64>,
     /// The same for the uplink of its rack.
     pub uplink: Option<f64>,
 }
 
-/// What a note on a playing session tells.
+/// The content of a note on a playing session.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Note {
-    /// Share of the rates delivered at that server, smoothed and late.
+    /// The share of the requested rates that the server delivers, smoothed and delayed.
     Delivered(f64),
     /// The rung in force.
     Rung(Rung),
-    /// What is asked of the server's link over what that gives.
+    /// The demand on the server's link divided by the rate that the link delivers.
     Link(f64),
     /// The same for the uplink of its rack.
     Uplink(f64),
--- a/src/module/api/request.rs
+++ b/src/module/api/request.rs
@@ -2,39 +2,39 @@
 
 use super::{Micros, Rung, SessionId, Text};
 
-/// A viewer asking for a session.
+/// A viewer's request for a session.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
-    /// Names this try.
+    /// Identifies this request.
     pub id: SessionId,
-    /// Index into [`Settings::classes`](super::Settings::classes).
+    /// An index into [`Settings::classes`](super::Settings::classes).
     pub class: usize,
-    /// Index into [`Settings::tenants`](super::Settings::tenants).
+    /// An index into [`Settings::tenants`](super::Settings::tenants).
     pub tenant: usize,
-    /// The viewer; the same over all its tries.
+    /// The viewer; the same for all its requests.
     pub viewer: Text,
-    /// What it wants to watch.
+    /// The title that the viewer wants to watch.
     pub title: Text,
-    /// When the viewer gives this try up.
+    /// When the viewer stops waiting for an answer.
     pub due: Micros,
-    /// A guess of the session's length, seconds.
+    /// An estimate of the session's duration, in seconds.
     pub duration_hint_s: Option<f64>,
-    /// First cell that holds the title.
+    /// The first cell that holds the title.
     pub home: u32,
-    /// So many cells in a row hold it.
+    /// The number of consecutive cells that hold the title.
     pub copies: u32,
-    /// Highest rung that the viewer can use.
+    /// The highest rung that the viewer can use.
     pub top: Rung,
-    /// The viewer says that it repeats.
+    /// Whether the viewer marks the request as a repeat.
     pub retry: bool,
-    /// It is back from a move.
+    /// Whether the viewer asks again after its session was moved.
     pub moved: bool,
-    /// It is not the viewer's first try.
+    /// Whether the viewer has asked before.
     pub is_returning: bool,
 }
 
 impl Request {
-    /// A first try of class and tenant 0, held from cell 0 on.
+    /// Returns a viewer's first request, of class and tenant 0, for a title held from cell 0 on.
     pub fn new(id: SessionId, title: Text, due: Micros, copies: u32, top: usize) -> Request {
         Request {
             id,
--- a/src/module/api/servers.rs
+++ b/src/module/api/servers.rs
@@ -1,61 +1,61 @@
-//! The list of servers as the decision module sees it.
+//! The server list as the decision module sees it.
 
 use super::{Micros, ServerId};
 
-/// What the list says of a server.
+/// The state of a server in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// It runs.
+    /// The server runs.
     #[default]
     Ready,
-    /// It completes its work and takes nothing new.
+    /// The server completes its work and takes no new sessions.
     Draining,
-    /// It is removed.
+    /// The server is removed.
     Gone,
 }
 
 impl ServerState {
-    /// The same for a server that rules bar: nothing new.
+    /// Returns the state of a server that the rules bar: it takes no new sessions.
     pub fn barred(self) -> ServerState {
         if self == ServerState::Ready { ServerState::Draining } else { self }
     }
 }
 
-/// A line of the list of servers.
+/// An entry of the server list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerEntry {
-    /// Its name.
+    /// The name of the server.
     pub id: ServerId,
-    /// What the list says of it.
+    /// The state of the server.
     pub state: ServerState,
-    /// Its zone.
+    /// The zone of the server.
     pub zone: u32,
-    /// Its cell.
+    /// The cell of the server.
     pub cell: u32,
-    /// Its kind, an index into [`Settings::kind_streams`](super::Settings::kind_streams).
+    /// The kind of the server, an index into [`Settings::kind_streams`](super::Settings::kind_streams).
     pub kind: usize,
-    /// Its size beside others.
+    /// The size of the server relative to others.
     pub weight: f64,
-    /// Its latest start; none: long ago.
+    /// The latest start of the server; `None` if it started long ago.
     pub up_since: Option<Micros>,
 }
 
 impl ServerEntry {
-    /// A server of size 1, kind 0 and zone 0 that started long ago.
+    /// Returns a server of size 1, kind 0 and zone 0 that started long ago.
     pub fn new(id: ServerId, state: ServerState, cell: u32) -> ServerEntry {
         ServerEntry { id, state, zone: 0, cell, kind: 0, weight: 1.0, up_since: None }
     }
 }
 
-/// What a list event carries.
+/// What a list event contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Changed entries only.
     Changes,
-    /// All of them; an absent server is gone.
+    /// All entries; a server that is absent is gone.
     Complete,
-    /// All of them as last held, perhaps old.
+    /// All entries as last known; they may be outdated.
     Stale,
-    /// Asking failed; the list stays.
+    /// The request for the list failed; the known list stays.
     Failed,
 }
--- a/src/module/api/settings.rs
+++ b/src/module/api/settings.rs
@@ -1,4 +1,4 @@
-//! What the decision module is told of its deployment.
+//! The settings of the decision module: the deployment and its limits.
 
 use super::{Class, Micros, Request, ServerEntry, Tenant};
 
@@ -7,96 +7,97 @@
 pub struct RetryBudget {
     /// Attempts that are always allowed within a window.
     pub floor: f64,
-    /// Attempts more for each request taken in the window.
+    /// Further attempts for each request accepted within the window.
     pub ratio: f64,
-    /// Length of the window.
+    /// The length of the window.
     pub span: Micros,
 }
 
-/// How a front hears of changes to the list of servers.
+/// How a broker learns of changes to the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// They come unasked.
+    /// Changes are pushed.
     Pushed,
-    /// They must be asked for.
+    /// Changes must be requested.
     OnRequest,
 }
 
-/// What a front is told when it starts.
+/// The settings of the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Number of fronts.
+    /// The number of brokers.
     pub broker_count: u32,
-    /// This front's number among them.
+    /// The index of this broker among them.
     pub broker_index: u32,
-    /// This front's zone.
+    /// The zone of this broker.
     pub zone: u32,
-    /// Least time between batches.
+    /// The minimum time between batches of events.
     pub tick: Micros,
-    /// Classes of sessions.
+    /// The classes of sessions.
     pub classes: Vec<Class>,
-    /// Tenants; may be empty.
+    /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, as a part of the usual.
+    /// The worth of a request beyond its tenant's quota, relative to one within it.
     pub over_share_worth: f64,
-    /// Rate of each rung, kB a second.
+    /// The rate of each rung, in kB per second.
     pub rung_kb: Vec<f64>,
-    /// What each rung earns.
+    /// The worth of each rung.
     pub rung_worth: Vec<f64>,
-    /// Number of cells.
+    /// The number of cells.
     pub cells: u32,
-    /// Number of racks; a server's rack is its cell modulo this.
+    /// The number of racks; a server's rack is its cell modulo this number.
     pub racks: u32,
-    /// A server's link, kB a second for each unit of its weight (rough).
+    /// The approximate rate of a server's link, in kB per second for each unit of its weight.
     pub link_unit_kb: f64,
-    /// Mean uplink of a rack, kB a second.
+    /// The mean rate of a rack's uplink, in kB per second.
     pub rack_kb: f64,
-    /// Streams that a server of each kind runs at most.
+    /// The maximum number of streams that a server of each kind runs.
     pub kind_streams: Vec<u32>,
-    /// A further viewer of a shared stream adds this part of the rate.
+    /// The share of the rate that each further viewer of a shared stream adds.
     pub shared_viewer_cost: f64,
-    /// Points of worth lost for each point of the rate that is missing.
+    /// Points of worth lost for each point of the rate that is not delivered.
     pub shortfall_penalty: f64,
-    /// A change of rung while playing costs so many seconds of worth.
+    /// The cost of a rung change while playing, in seconds of worth.
     pub switch_s: f64,
-    /// How late periodic notes are.
+    /// The delay of periodic notes.
     pub note_delay: Micros,
-    /// Time between notes of fullness; zero: none.
+    /// The time between notes of utilization; zero if none are sent.
     pub load_note_interval: Micros,
-    /// Servers turn set-ups away while so much of their link is asked; zero: never.
+    /// The link utilization from which servers reject set-ups; zero if they never do.
     pub link_limit: f64,
-    /// Attempts for one session at most.
+    /// The maximum number of attempts for one session.
     pub max_attempts: u32,
-    /// Longest advice to stay away that viewers honour; zero: none may be given.
+    /// The longest retry delay that viewers honour; zero if none may be advised.
     pub max_retry_after: Micros,
-    /// Moves are priced so many points for each session.
+    /// The price of a move, in points for each session.
     pub move_price: f64,
-    /// Part of the score taken for each session that crosses zones.
+    /// The share of the score deducted for each session that crosses zones.
     pub cross_zone_price: f64,
-    /// Part of the score taken for each new connection to a server, over first tries.
+    /// The share of the score deducted for each new connection to a server, relative to the number of first
+    /// requests.
     pub handshake_price: f64,
-    /// Servers close connections that were idle for so long; zero: never.
+    /// The time after which servers close idle connections; zero if they never do.
     pub idle: Micros,
-    /// Nothing new goes to a draining server after this.
+    /// The time after which a draining server must get no new sessions.
     pub drain_grace: Micros,
-    /// A started server is warm after this; zero: at once.
+    /// The time that a started server needs to warm up; zero if it is warm at once.
     pub warm_up: Micros,
-    /// It starts at this part of its capacity.
+    /// The share of its capacity with which a server starts.
     pub initial_capacity: f64,
-    /// More than this multiple of its present pace makes it fall.
+    /// A server that is warming up fails if it gets set-ups at more than this multiple of its present pace.
     pub overload_factor: f64,
-    /// Within this.
+    /// The window within which that pace is measured.
     pub overload_window: Micros,
-    /// Budget of further attempts, where there is one.
+    /// The budget of further attempts, if there is one.
     pub budget: Option<RetryBudget>,
-    /// How the list comes.
+    /// How changes to the server list arrive.
     pub discovery: Discovery,
-    /// The uplink's fullness is reported.
+    /// Whether the utilization of uplinks is reported.
     pub uplink_reported: bool,
 }
 
 impl Settings {
-    /// Settings with a ladder and mild defaults for the rest; classes are still to be added.
+    /// Returns settings with a ladder and permissive defaults for the rest; classes must still be added.
     pub fn new(rung_kb: Vec<f64>, rung_worth: Vec<f64>) -> Settings {
         Settings {
             broker_count: 1,
@@ -136,7 +137,8 @@
         }
     }
 
-    /// Rate of `n` viewers of one class and title at a rung, kB a second; viewers of a live title share a stream.
+    /// Returns the rate of `n` viewers of one class and title at a rung, in kB per second. Viewers of a live
+    /// title share a stream.
     pub fn stream_kb(&self, class: usize, n: usize, rung: usize) -> f64 {
         let (Some(class), Some(kb)) = (self.classes.get(class), self.rung_kb.get(rung)) else { return 0.0 };
         let further = if class.live { self.shared_viewer_cost } else { 1.0 };
--- a/src/module/mod.rs
+++ b/src/module/mod.rs
@@ -1,5 +1,5 @@
-//! The decision module: plain events in, plain actions out. [`brain`] has a file for
-//! each kind of decision.
+//! The decision module: it takes plain events and returns plain actions, and does no I/O. [`brain`] has a
+//! file for each kind of decision; the other files keep its state.
 
 pub mod api;
 pub mod brain;
