--- a/src/module/brain/choice.rs
+++ b/src/module/brain/choice.rs
@@ -1,22 +1,24 @@
-//! Choice of a server for one session.
+//! Chooses a server for a session.
 
 use super::*;
 
-/// Fullness that a crossing of zones counts for when holders are compared.
+/// Utilization that a crossing of zones counts for in the ranking of servers.
 const CROSS_ZONE_PENALTY: f64 = 0.15;
-/// Fullness that a new connection counts for when holders are compared, for each point of its price: of many
-/// fronts each sees little of any server, and would pay for nearly as many connections as it has sessions.
+/// Utilization that a new connection counts for in the ranking of servers, for each point of its price. In a
+/// large fleet each broker sends few sessions to any server, and would otherwise pay for nearly as many
+/// connections as it has sessions.
 const HANDSHAKE_PENALTY: f64 = 2.0;
-/// Fullness up to which luck decides between holders, so that fronts that know little do not go as one.
+/// Utilization up to which a pseudo-random term decides between servers, so that brokers with little
+/// information do not all choose the same one.
 pub(super) const RANDOM_SPREAD: f64 = 0.05;
 
 impl Brain {
-    /// Servers that a session may be sent to now.
+    /// Returns the servers that a session may be sent to now.
     pub(super) fn candidates(&self, id: SessionId) -> Vec<usize> {
         let s = &self.state.sessions[&id];
         let accepting = self.accepting_servers(s.request.home, s.request.copies);
         let mut candidates: Vec<usize> = accepting.filter(|i| self.may_repeat(s, *i)).collect();
-        // Distrusted servers wait, and further attempts go elsewhere, while there is another.
+        // Distrusted servers and those already tried are used only if there is no other.
         for is_preferred in [&|i: &usize| self.is_trusted(*i), &|i: &usize| !s.tried_servers.contains(i)]
             as [&dyn Fn(&_) -> _; 2]
         {
@@ -27,7 +29,7 @@
         candidates
     }
 
-    /// Servers of so many cells from one on that take set-ups now.
+    /// Returns the servers in `copies` consecutive cells, starting at `first_cell`, that accept set-ups now.
     pub(super) fn accepting_servers(&self, first_cell: u32, copies: u32) -> impl Iterator<Item = usize> {
         let cells = self.settings.cells.max(1);
         let first_cell = u64::from(first_cell % cells);
@@ -40,7 +42,7 @@
             .filter(|i| self.warm_up_allows(*i) && self.state.servers[*i].saturated_until <= self.state.now)
     }
 
-    /// The first rule about repeats: where a session whose attempt may have run can still go.
+    /// Whether a session may be sent to a server, given that an earlier attempt may have run elsewhere.
     pub(super) fn may_repeat(&self, s: &Session, i: usize) -> bool {
         let class = s.request.class;
         s.possible_run.is_none_or(|(first_server, sent_at)| {
@@ -48,7 +50,7 @@
         })
     }
 
-    /// Whether a server recognises the repeat of a set-up that may have run at another.
+    /// Whether a server recognises the repeat of a set-up that may have run at another server.
     pub(super) fn recognises_repeat(&self, class: usize, first_server: usize, i: usize) -> bool {
         let (a, b) = (&self.state.servers[first_server].entry, &self.state.servers[i].entry);
         match self.settings.classes[class].idempotency {
@@ -60,13 +62,14 @@
         }
     }
 
-    /// Whether no server recognises the repeat of a set-up any more.
+    /// Whether the time is over in which servers recognise the repeat of a set-up.
     pub(super) fn is_key_window_over(&self, class: usize, sent_at: Micros) -> bool {
         let idempotency = self.settings.classes[class].idempotency;
         matches!(idempotency, Idempotency::Keyed { window, .. } if self.state.now >= sent_at + window)
     }
 
-    /// The holder: the server of the front's running stream, if the title is live, else that with most room.
+    /// Returns the server for a session: the one that runs this broker's stream of a live title, if there is
+    /// one, otherwise the one with the best rank.
     pub(super) fn choose_server(&self, id: SessionId) -> Option<usize> {
         let s = &self.state.sessions[&id];
         let (candidates, live) = (self.candidates(id), self.settings.classes[s.request.class].live);
@@ -83,8 +86,8 @@
                 return Some(i);
             }
         }
-        // Between equals the title decides where viewers share streams, so that those of all fronts gather,
-        // and chance elsewhere, so that they spread.
+        // Ties are broken by title where viewers share streams, so that the viewers of all brokers gather at
+        // one server, and at random otherwise, so that they spread.
         let spread = |i: usize| {
             let server = &self.state.servers[i].entry.id;
             RANDOM_SPREAD
@@ -95,12 +98,13 @@
         candidates.into_iter().map(|i| (rank(i), i)).min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, i)| i)
     }
 
-    /// What holders are compared by, the lowest first, with so much more asked of one.
+    /// Returns the rank of a server with `kb` more demand; the lowest rank is chosen.
     pub(super) fn rank(&self, i: usize, kb: f64, spread: f64) -> f64 {
         let server = &self.state.servers[i];
         let crosses_zones = self.settings.cross_zone_price > 0.0 && server.entry.zone != self.settings.zone;
         let places = self.settings.kind_streams.get(server.entry.kind).map_or(f64::MAX, |n| f64::from(*n));
-        // Others hold as many, as far as the own ones tell: one or two say nothing.
+        // Other brokers are assumed to have as many sessions there as this one, in proportion to its own
+        // count: one or two own sessions say nothing about the others.
         let own_sessions = server.sessions.len();
         let estimated_places_share =
             (own_sessions * own_sessions.min(self.settings.broker_count as usize)) as f64 / places.max(1.0);
@@ -109,7 +113,7 @@
             + spread
             + if crosses_zones { CROSS_ZONE_PENALTY } else { 0.0 }
             + if is_connected { 0.0 } else { HANDSHAKE_PENALTY * self.settings.handshake_price };
-        // Among distrusted servers the one whose distrust ends first.
+        // Among distrusted servers, the one whose distrust ends first.
         if self.is_trusted(i) { score } else { 10.0 + (server.distrust_until - self.state.now).secs() }
     }
 }
--- a/src/module/brain/cold.rs
+++ b/src/module/brain/cold.rs
@@ -1,20 +1,25 @@
-//! The pace at which servers that have just started take set-ups.
+//! Limits the pace of set-ups at servers that have just started (slow start).
 
 use super::*;
 
-/// Part of the cold pace that all fronts use: set-ups weigh unequally and fronts are not in step.
+/// The share of the permitted warm-up pace that all brokers use together: set-ups weigh unequally and brokers
+/// are not synchronised.
 const WARM_UP_PACE_SHARE: f64 = 0.7;
-/// Up to so many fronts have their cold turns one after the other; those of more are longer by as much.
+/// Up to this number of brokers, their warm-up turns follow one another; in larger fleets turns are longer in
+/// proportion.
 const SEQUENTIAL_TURNS: u64 = 4;
-/// The longest cold turn, in windows of the rule: beyond that longer ones are used hardly more often.
+/// The longest warm-up turn, in overload windows: longer turns would hardly be used more often.
 const MAX_TURN_WINDOWS: u64 = 2;
 
 impl Brain {
-    /// Cold pace: a just started server takes one set-up in a turn, and each turn is one front's. They follow
-    /// from the clock, the server and the front's number, so that all fronts know them without a word, also
-    /// for a start that only some heard of; a turn that began before this front did was another's. Of many
-    /// fronts each sees little traffic: their turns are longer and overlap, but begin so much less often that
-    /// no window meets more of them. May hurt where few fronts ask: turns of others stay unused.
+    /// Whether a server that is warming up may get a set-up from this broker now.
+    ///
+    /// A starting server takes one set-up per turn, and each turn belongs to one broker. Turns follow from
+    /// the clock, the server and the broker's index, so that all brokers know them without communication,
+    /// also for a start that only some of them heard of. A turn that began before this broker started
+    /// belonged to its predecessor. In a large fleet each broker sees little traffic: its turns are longer
+    /// and overlap with others, but begin so much less often that no window contains more of them. The cost:
+    /// where few brokers have requests, the turns of the others stay unused.
     pub(super) fn warm_up_allows(&self, i: usize) -> bool {
         let server = &self.state.servers[i];
         if server.warm_up_until <= self.state.now
@@ -31,7 +36,7 @@
         let turn = Micros::from_secs(1.0 / (pace * WARM_UP_PACE_SHARE).max(1e-3)).0.max(1);
         let brokers = u64::from(self.settings.broker_count.max(1));
         let turn_length = (turn * brokers / SEQUENTIAL_TURNS).min(MAX_TURN_WINDOWS * window).max(turn);
-        // A window meets the turns that begin within it or within a turn's length before.
+        // A window overlaps the turns that begin within it or at most one turn length before it.
         let turn_interval = (turn * (window + turn_length - turn)).div_ceil(window);
         let first_turn = (u64::from(self.settings.broker_index) + brokers - hash(&server.entry.id) % brokers)
             % brokers
--- a/src/module/brain/deadlines.rs
+++ b/src/module/brain/deadlines.rs
@@ -1,35 +1,37 @@
-//! How long a request may be held, and the moment at which it is answered at the latest.
+//! How long a request may be held, and when it must be answered at the latest.
 
 use super::*;
 
-/// The way of a request to this front and of its answer back, which no setting names: as much as the rules on
-/// sockets add to every time limit (the protocol page).
+/// The time for a request to reach this broker and for its answer to return, which no setting names. It
+/// equals the slack that the socket rules of the protocol page add to every time limit.
 const ANSWER_TRANSIT: Micros = Micros(50_000);
-/// No more than this part of a request's time is kept free for its answer, however late this front runs.
+/// The reserve for an answer is at most the request's whole time divided by this, however late this broker
+/// runs.
 const MAX_RESERVE_DIVISOR: u64 = 4;
 
 impl Brain {
-    /// Time kept free for an answer: two turns, its way, and twice how late this front runs, as the request
-    /// may have waited unread for as long as the answer waits for its timer.
+    /// Returns the time reserved for an answer: two ticks, the transit time, and twice the expected lateness,
+    /// because the request may have waited unread for as long as the answer waits for its timer.
     pub(super) fn answer_reserve(&self) -> Micros {
         let lateness = self.state.lateness.expected(self.state.now);
         Micros(self.settings.tick.0 * 2) + ANSWER_TRANSIT + lateness + lateness
     }
 
-    /// The moment at which a request is answered at the latest, unless its set-up is answered before.
+    /// Returns when a request must be answered at the latest, unless its set-up is answered before.
     pub(super) fn answer_by(&self, s: &Session) -> Micros {
         s.request.due
             - self.answer_reserve().min(Micros((s.request.due - s.arrived_at).0 / MAX_RESERVE_DIVISOR))
     }
 
-    /// The last moment at which an attempt may begin: a set-up that takes as long as usual is answered in
-    /// time. One that is begun later is answered late, and a paid one can't even be refused any more.
+    /// Returns the last moment at which an attempt may begin, such that a set-up of the usual duration is
+    /// answered in time. A later one would be answered late, and a class that must not be repeated could not
+    /// even be refused any more.
     pub(super) fn last_attempt_start(&self, s: &Session) -> Micros {
         let usual = Micros::from_secs(self.state.mean_setup_s);
         self.answer_by(s) - usual.min(Micros((s.request.due - s.arrived_at).0 / MAX_RESERVE_DIVISOR))
     }
 
-    /// Whether an attempt may still begin.
+    /// Whether there is still time to begin an attempt.
     pub(super) fn has_time_for_attempt(&self, s: &Session) -> bool {
         self.state.now < self.last_attempt_start(s)
     }
--- a/src/module/brain/demand.rs
+++ b/src/module/brain/demand.rs
@@ -1,22 +1,22 @@
-//! What sessions ask of links, and the usual fullness of all links. Nothing is decided here.
+//! The demand of sessions on links, and the mean utilization of all links. No decisions are made here.
 
 use super::rungs::MIN_CHANGE_INTERVAL;
 use super::*;
 
 impl Brain {
-    /// Viewers of this front that share the stream of a live session, itself left out.
+    /// Returns how many other viewers of this broker share the stream of a live session at a server and rung.
     pub(super) fn count_sharers(&self, i: usize, id: SessionId, rung: usize) -> usize {
         let live = self.settings.classes[self.state.sessions[&id].request.class].live;
         if live { self.state.count_alike(i, id, rung) } else { 0 }
     }
 
-    /// What a session adds to a server at a rung.
+    /// Returns the demand that a session adds to a server at a rung, in kB per second.
     pub(super) fn added_kb(&self, i: usize, id: SessionId, rung: usize) -> f64 {
         let (n, class) = (self.count_sharers(i, id, rung), self.state.sessions[&id].request.class);
         self.settings.stream_kb(class, n + 1, rung) - self.settings.stream_kb(class, n, rung)
     }
 
-    /// The usual fullness, from the figures that are not old.
+    /// Recomputes the mean utilization from reports that are recent enough.
     pub(super) fn update_mean_utilization(&mut self) {
         let (now, max_age) = (
             self.state.now,
--- a/src/module/brain/ending.rs
+++ b/src/module/brain/ending.rs
@@ -1,16 +1,17 @@
-//! A front that was told to end: until when it answers, and what it still takes on.
+//! Shutdown: until when the broker answers requests, and which ones it still accepts.
 
 use super::*;
 
-/// A set-up of a class that may be repeated is begun if so many times its usual time are left.
+/// A set-up of a class that may be repeated is begun if this multiple of the usual set-up time is left.
 const REPEATABLE_SETUP_FACTOR: f64 = 3.0;
-/// One of a class whose set-up must not happen twice fails for good if it is not answered: so many times.
+/// The same multiple for classes whose set-up must not run twice: without an answer in time, such a request
+/// fails for good.
 const UNREPEATABLE_SETUP_FACTOR: f64 = 10.0;
-/// But no more than this part of the time that the front had when it was told.
+/// The time required is at most the whole time for the shutdown divided by this.
 const SHUTDOWN_TIME_DIVISOR: u64 = 2;
 
 impl Brain {
-    /// This front ends: all that waits is answered by then.
+    /// Begins the shutdown: all waiting requests must be answered by `answer_by`.
     pub(super) fn begin_shutdown(&mut self, answer_by: Micros, out: &mut Vec<Action>) {
         let announced_at = self.state.shutdown.map_or(self.state.now, |shutdown| shutdown.announced_at);
         self.state.shutdown = Some(Shutdown { announced_at, answer_by });
@@ -23,9 +24,9 @@
         self.answer_due_requests(out);
     }
 
-    /// Whether a new request is taken on. Where the front ends before the request's own time, a request that
-    /// may well not be answered by then is refused at once, while it is sure that nothing ran. May hurt when
-    /// another process would not be quicker.
+    /// Whether a new request is accepted. If the broker ends before the request's own deadline, a request
+    /// that may well stay unanswered is refused at once, while it is certain that nothing ran. The cost:
+    /// another process may not be quicker.
     pub(super) fn accepts_request(&self, id: SessionId) -> bool {
         let (Some(shutdown), Some(session)) = (self.state.shutdown, self.state.sessions.get(&id)) else {
             return true;
--- a/src/module/brain/health.rs
+++ b/src/module/brain/health.rs
@@ -1,22 +1,25 @@
-//! Health of servers: which ones are trusted, and what a failure or an answer tells.
+//! Health of servers: which ones are trusted, and what failures and answers reveal.
 
 use super::rungs::TOP_RUNG_LIMIT;
 use super::*;
 
-/// First span of distrust; it doubles with each further failure.
+/// The first period of distrust; it doubles with each further failure.
 const FIRST_DISTRUST: Micros = Micros(3_000_000);
-/// Time-outs of one server that lie closer together are no accident.
+/// Timeouts of one server at shorter distances than this are not isolated.
 const ISOLATED_TIMEOUT_GAP: Micros = Micros(5_000_000);
-/// Weight of an answer in a server's part of errors: about the last five count.
+/// The weight of one answer in a server's error rate: about the last five answers count.
 const ERROR_RATE_WEIGHT: f64 = 0.2;
-/// Beyond this part a server is distrusted: two errors in a row after none.
+/// A server with a higher error rate is distrusted: two errors in a row reach it from zero.
 const MAX_ERROR_RATE: f64 = 0.35;
-/// Longest span of distrust without a fresh sign of trouble.
+/// The longest period of distrust without a new failure.
 const MAX_DISTRUST: Micros = Micros(16_000_000);
-/// First span for which a server that turned a set-up away is left alone; it doubles up to eight times.
+/// The first time for which a server is avoided after it rejected a set-up as saturated; it doubles up to
+/// eightfold.
 const FIRST_SATURATION_BACKOFF: Micros = Micros(300_000);
 
 impl Brain {
+    /// Applies a server list, and resumes asking for changes if they must be requested and the list was not
+    /// available.
     pub(super) fn update_servers(
         &mut self,
         kind: ListKind,
@@ -40,6 +43,7 @@
         self.update_mean_utilization();
     }
 
+    /// Applies one entry of the server list.
     pub(super) fn update_server(&mut self, entry: ServerEntry) {
         let warm_up_until = entry.up_since.map_or(Micros(0), |at| at + self.settings.warm_up);
         if !self.state.server_indexes.contains_key(&entry.id) {
@@ -52,7 +56,7 @@
         let Some(&i) = self.state.server_indexes.get(&entry.id) else { return };
         let server = &mut self.state.servers[i];
         if entry.up_since > server.entry.up_since {
-            // A new start: what was known of the old process says nothing about this one.
+            // After a new start, what was known of the old process no longer applies.
             (server.warm_up_until, server.link.reported) =
                 (warm_up_until, entry.up_since.map(|at| (0.0, at)));
             server.warm_up_until_before_failure = warm_up_until;
@@ -65,9 +69,9 @@
         (server.entry, server.last_listed_at) = (entry, self.state.now);
     }
 
-    /// Health: a time-out, a broken or refused connection, or a standstill draws distrust whatever the list
-    /// says. Also catches a server the list does not know to be lost. May hurt when one slow answer takes a
-    /// good server out for some seconds; the span starts short and a success ends it.
+    /// Distrusts a server after a timeout, a lost or refused connection, or a standstill, whatever the list
+    /// says. This also detects a server whose loss the list does not know. The cost: one slow answer can take
+    /// a good server out for some seconds, so the period starts short and a success ends it.
     pub(super) fn distrust(&mut self, i: usize, reason: &str, out: &mut Vec<Action>) {
         let now = self.state.now;
         let server = &mut self.state.servers[i];
@@ -77,14 +81,15 @@
         let span = Micros(FIRST_DISTRUST.0 << server.consecutive_failures.min(4)).min(MAX_DISTRUST);
         server.consecutive_failures += 1;
         (server.distrust_until, server.last_failed_at) = (server.distrust_until.max(now + span), now);
-        // It may restart cold before the list tells.
+        // The server may have restarted and be cold before the list says so.
         if server.warm_up_until != Micros::MAX {
             (server.warm_up_until_before_failure, server.warm_up_until) = (server.warm_up_until, Micros::MAX);
         }
     }
 
-    /// A server that answers with errors does so at once and looks idle, so that ever more goes there. It
-    /// runs: a restart is no matter of this. May hurt when two set-ups in a row fail for their own reasons.
+    /// Records an answer with an error. A server that answers with errors does so at once and looks idle, so
+    /// that ever more requests would go there. It runs, so this is no sign of a restart. The cost: two
+    /// set-ups in a row may fail for reasons of their own.
     pub(super) fn record_error(&mut self, i: usize, out: &mut Vec<Action>) {
         let server = &mut self.state.servers[i];
         server.error_rate += (1.0 - server.error_rate) * ERROR_RATE_WEIGHT;
@@ -96,8 +101,9 @@
         }
     }
 
-    /// Whether a time-out is an accident: the first in a while, of a server that shows room and has answered
-    /// since the set-up was sent. May hurt when a server fails slowly: one more time-out tells.
+    /// Records a timeout, and returns whether it is isolated: the first in a while, of a server that has room
+    /// and has answered since the set-up was sent. The cost: a server that fails slowly is detected one
+    /// timeout later.
     pub(super) fn is_isolated_timeout(&mut self, i: usize, id: SessionId) -> bool {
         let (now, sent_at) = (self.state.now, self.state.sessions.get(&id).map(|s| s.started_at));
         if self.link_utilization(i) > TOP_RUNG_LIMIT {
@@ -109,8 +115,9 @@
         is_first && sent_at.is_some_and(|sent_at| server.last_answered_at > sent_at)
     }
 
-    /// It answers what was sent before its last failure: it has not restarted since. Without this, one answer
-    /// that goes missing leaves a warm server to the pace of a cold one for a whole warm-up.
+    /// Handles an answer to a set-up that was sent before the server's last failure: it proves that the
+    /// server has not restarted since. Otherwise one missing answer would limit a warm server to the pace of
+    /// a cold one for a whole warm-up.
     pub(super) fn confirm_not_restarted(&mut self, i: usize, sent_at: Micros) {
         let server = &mut self.state.servers[i];
         if server.last_failed_at > Micros(0) && sent_at < server.last_failed_at {
@@ -118,8 +125,8 @@
         }
     }
 
-    /// A server that turns set-ups away is left alone, longer each time until it takes one. Answers a full
-    /// link where servers guard it, full places, and a drain the list does not tell yet.
+    /// Avoids a server that rejects set-ups, longer each time until it accepts one. This covers a full link
+    /// at servers that limit it, a server without free places, and a drain that the list does not show yet.
     pub(super) fn record_saturation(&mut self, i: usize) {
         let now = self.state.now;
         let server = &mut self.state.servers[i];
@@ -133,15 +140,18 @@
         server.consecutive_saturations += 1;
     }
 
+    /// Whether a server is not distrusted now.
     pub(super) fn is_trusted(&self, i: usize) -> bool {
         self.state.servers[i].distrust_until <= self.state.now
     }
 
-    /// Whether a server that the list calls ready gets nothing for now.
+    /// Whether a server that may be listed as ready gets no sessions for now.
     pub fn distrusts(&self, now: Micros, server: &ServerId) -> bool {
         self.state.server_indexes.get(server).is_some_and(|&i| self.state.servers[i].distrust_until > now)
     }
 
+    /// Records an answer: it ends the distrust, unless the server answers too often with errors, and it
+    /// starts the warm-up of a server that may have restarted.
     pub(super) fn record_answer(&mut self, i: usize, out: &mut Vec<Action>) {
         let (now, warm_up) = (self.state.now, self.settings.warm_up);
         let server = &mut self.state.servers[i];
--- a/src/module/brain/held.rs
+++ b/src/module/brain/held.rs
@@ -1,18 +1,21 @@
-//! Sessions that are held, and who goes first.
+//! Held requests, and the order in which they are sent.
 
 use super::choice::RANDOM_SPREAD;
 use super::rungs::{MAX_LIMIT, MIN_CHANGE_INTERVAL, TOP_RUNG_LIMIT};
 use super::*;
 
-/// Part of a class's aim that a session may be held for its group's turn; the rest is for the set-up.
+/// The share of a class's objective for which a session may be held to wait for its group's turn; the rest is
+/// for the set-up.
 const MAX_HOLD_SHARE: f64 = 0.4;
-/// Held sessions that a request tries in vain at most, though each might have found room; then all, also the
-/// newcomer, wait for the next look, as it may not overtake them.
+/// The maximum number of held sessions that one request tries without success, though each might have found
+/// room. After that all of them, including the new one, wait for the next check, as a new request may not
+/// overtake held ones.
 const MAX_FAILED_SEARCHES: usize = 256;
-/// Far above what rounding changes in a rate or a fullness, and far below what matters.
+/// Far above rounding errors in a rate or a utilization, and far below any difference that matters.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 impl Brain {
+    /// Queues a new request and tries to place it, unless it must be refused at once.
     pub(super) fn handle_request(&mut self, request: Request, out: &mut Vec<Action>) {
         let id = request.id;
         if request.class >= self.settings.classes.len() || self.state.sessions.contains_key(&id) {
@@ -26,7 +29,7 @@
             *tenant = (decayed(tenant.0, now - tenant.1) + 1.0, now);
         }
         let session = self.new_session(request, Phase::Held);
-        // A viewer whose class floor is above its own top cannot be served.
+        // A viewer whose own top rung is below the floor of its class cannot be served.
         let cannot_be_served = session.request.top.0 < session.min_rung;
         let title = session.request.title.clone();
         self.state.sessions.insert(id, session);
@@ -41,14 +44,15 @@
         }
     }
 
-    /// Room that has come since the last look goes to those that are held already, in arrival order, or
-    /// newcomers would overtake them until their patience ends. Behind one that finds none, none of its
-    /// title does. Those that cannot find any, by what all with their constraints see, are passed over.
+    /// Gives room that became free since the last check to sessions that are already held, in order of
+    /// arrival; otherwise new requests would overtake them until they have waited long enough to be sent
+    /// anyway. Behind a session that finds no room, no other of its title finds any. Sessions that cannot
+    /// find room, by what is known for their constraints, are skipped.
     fn serve_first_of_titles(&mut self, out: &mut Vec<Action>) {
         let (mut after, mut failed, mut cache) = (None, 0, None);
         while failed < MAX_FAILED_SEARCHES {
             let known = cache.get_or_insert_with(|| self.availability_after(after));
-            // Who has waited longest goes first: where its patience has not ended, no other's has.
+            // The session that has waited longest is first: if it has not waited long enough, no other has.
             let next = |(constraints, availability): (&Constraints, &Availability)| {
                 let first = self.state.held.next_first(constraints, after);
                 first.filter(|(_, id)| self.may_find_server(*id, *availability))
@@ -64,6 +68,7 @@
         }
     }
 
+    /// Returns the availability for the constraints of all first sessions of titles after a position.
     fn availability_after(&self, after: Option<QueuePosition>) -> AvailabilityByConstraints {
         let first_of_titles = self.state.held.first_constraints();
         let first_of_titles =
@@ -71,7 +76,7 @@
         first_of_titles.map(|constraints| (*constraints, self.availability(constraints))).collect()
     }
 
-    /// What sessions with these constraints find at best, whatever their titles and ids.
+    /// Returns the best that sessions with these constraints can find, whatever their titles and ids.
     fn availability(&self, constraints: &Constraints) -> Availability {
         self.state.count_search();
         if constraints.is_key_window_over || constraints.is_retry && !self.has_retry_budget() {
@@ -92,7 +97,7 @@
             unshared_kb
         };
         let trusted = || candidates.iter().copied().filter(|i| self.is_trusted(*i));
-        // Luck brings a server before the best one only from so near.
+        // The random term can place a server before the best one only if it is this close.
         let best_rank = trusted().map(|i| self.rank(i, min_kb, 0.0)).fold(f64::MAX, f64::min);
         let is_near_best =
             |i: usize| live || self.rank(i, min_kb, 0.0) <= best_rank + RANDOM_SPREAD + ROUNDING_TOLERANCE;
@@ -101,6 +106,7 @@
         Availability { has_server: !candidates.is_empty(), has_room }
     }
 
+    /// Whether it is worth searching a server for a session.
     fn may_find_server(&self, id: SessionId, availability: Availability) -> bool {
         let s = &self.state.sessions[&id];
         self.has_time_for_attempt(s)
@@ -108,13 +114,14 @@
                 || availability.has_server && (s.attempts > 0 || self.has_waited_enough(s)))
     }
 
+    /// Whether a session has been held for its share of the objective.
     fn has_waited_enough(&self, s: &Session) -> bool {
         let slo = self.settings.classes[s.request.class].slo;
         self.state.now - s.arrived_at >= Micros::from_secs(slo.secs() * MAX_HOLD_SHARE)
     }
 
-    /// A session whose holder shows room starts at once; so does one that was held for its part of the aim or
-    /// sent before. Others wait for their group's turn.
+    /// Sends a session at once if its server has room, if it was held for its share of the objective, or if
+    /// it was sent before. Others wait for their group's turn.
     pub(super) fn try_to_place(&mut self, id: SessionId, out: &mut Vec<Action>) {
         self.state.count_search();
         let Some(i) = self.choose_server(id) else { return };
@@ -126,7 +133,7 @@
         }
     }
 
-    /// Looks at all held sessions: first for room, then streams go by the groups' shares.
+    /// Checks all held sessions: first for room, then streams are assigned by the groups' shares.
     pub(super) fn serve_held(&mut self, out: &mut Vec<Action>) {
         let mut cache = AvailabilityByConstraints::new();
         for id in self.state.held.ids() {
@@ -152,11 +159,14 @@
         }
     }
 
+    /// Whether any server accepts a session, with or without room.
     fn has_server(&self, id: SessionId, cache: &mut AvailabilityByConstraints) -> bool {
         let constraints = self.constraints(id);
         cache.entry(constraints).or_insert_with(|| self.availability(&constraints)).has_server
     }
 
+    /// Sends held sessions within their groups' shares of streams, and beyond them one title for each server with
+    /// room.
     fn serve_groups(&mut self, out: &mut Vec<Action>) {
         let mut cache = AvailabilityByConstraints::new();
         let ready =
@@ -166,7 +176,7 @@
         let mut spare_servers = servers_with_room;
         for (titles, in_use, share) in self.title_groups(servers_with_room) {
             let mut streams_left = share - in_use;
-            // Arrival order within the group; all of a title's held sessions go at once.
+            // In order of arrival within the group; all held sessions of a title are sent together.
             let first_of_titles =
                 titles.iter().filter_map(|title| Some((self.state.held.first_position(title)?, title)));
             for (_, title) in first_of_titles.collect::<BTreeMap<QueuePosition, &Text>>() {
@@ -187,6 +197,7 @@
         }
     }
 
+    /// Sends a session to a server, unless it lacks a seat, retry budget or time.
     pub(super) fn start_attempt(&mut self, id: SessionId, i: usize, out: &mut Vec<Action>) {
         let s = &self.state.sessions[&id];
         if !self.has_free_seat(s.request.class, &s.request.title)
@@ -223,7 +234,8 @@
         out.push(Action::Send { id, server: self.state.servers[i].entry.id.clone(), timeout });
     }
 
-    /// Seats: sessions of one title and class, from the send to the end of the attempt.
+    /// Whether a title has a free seat. A session of the title and class takes a seat from its send to the
+    /// end of the attempt.
     pub(super) fn has_free_seat(&self, class: usize, title: &Text) -> bool {
         self.settings.classes[class].seats.is_none_or(|seats| self.state.seats.taken(class, title) < seats)
     }
--- a/src/module/brain/mod.rs
+++ b/src/module/brain/mod.rs
@@ -1,5 +1,6 @@
-//! The module of one front: what it keeps, and which file decides on what it hears. Nothing is decided here.
-//! Fullness is what is asked of a link or uplink over what it gives. Interface: `src/module/api.rs`.
+//! The decision module of one broker: it keeps the state and dispatches each event to the file that handles
+//! it. No decisions are made here. Utilization is the demand on a link or uplink divided by the rate that it
+//! delivers. The interface is in `src/module/api.rs`.
 
 mod choice;
 mod cold;
@@ -29,7 +30,7 @@
 use shares::POPULARITY_HALF_LIFE_S;
 use timers::{CHECK_TIMER, DEADLINE_TIMER};
 
-/// The decision module of one front.
+/// The decision module of one broker.
 #[derive(Debug)]
 pub struct Brain {
     settings: Settings,
@@ -37,19 +38,20 @@
     state: ModuleState,
 }
 
-/// The same number at every front.
+/// Returns a hash that is the same at every broker.
 fn hash(value: impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     value.hash(&mut hasher);
     hasher.finish()
 }
 
+/// Returns a value reduced by its age, with the half-life of popularity.
 fn decayed(value: f64, age: Micros) -> f64 {
     value * 0.5f64.powf(age.secs() / POPULARITY_HALF_LIFE_S)
 }
 
 impl Brain {
-    /// A module that knows its settings and nothing else.
+    /// Creates a module that knows only its settings.
     pub fn new(settings: Settings, seed: u64) -> Brain {
         let uplinks = (0..settings.racks.max(1)).map(|_| Gauge::new(settings.rack_kb)).collect();
         let uplink_estimates =
@@ -72,7 +74,7 @@
         Brain { rng: fastrand::Rng::with_seed(seed), settings, state }
     }
 
-    /// Takes one event in and appends what is to be done, in order.
+    /// Handles one event and appends the resulting actions, in order.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.state.now = now;
         self.state.started_at.get_or_insert(now);
@@ -113,18 +115,19 @@
         }
     }
 
-    /// Servers, sessions or titles that are remembered, whichever are the most.
+    /// Returns the number of tracked servers, sessions or titles, whichever is largest.
     pub fn tracked_entries(&self) -> usize {
         let state = &self.state;
         let sessions = state.sessions.len().max(state.deadlines.len());
         state.servers.len().max(state.server_indexes.len()).max(sessions).max(state.titles.len())
     }
 
-    /// Searches for a server so far: how much work events have made.
+    /// Returns the number of searches for a server so far, a measure of the work that events caused.
     pub fn search_count(&self) -> u64 {
         self.state.searches.get()
     }
 
+    /// Returns a session for a request, with the rungs that its class and its viewer permit.
     fn new_session(&mut self, request: Request, phase: Phase) -> Session {
         let class = &self.settings.classes[request.class];
         let last = self.settings.rung_kb.len().saturating_sub(1);
@@ -144,6 +147,7 @@
         }
     }
 
+    /// Adds a session that was already playing when the broker started.
     fn add_existing_session(&mut self, request: Request, server: &ServerId) {
         let (id, Some(&i)) = (request.id, self.state.server_indexes.get(server)) else { return };
         if request.class >= self.settings.classes.len() {
@@ -169,7 +173,7 @@
         }
     }
 
-    /// Takes a session off its server's books.
+    /// Removes a session from its server and from the demand there.
     fn remove_from_server(&mut self, id: SessionId) {
         let Some(s) = self.state.sessions.get(&id) else { return };
         let (i, rung) = (s.server, s.rung);
@@ -180,6 +184,8 @@
         }
     }
 
+    /// Ends a request that has its final answer or whose viewer left; an open attempt stays until its
+    /// outcome.
     fn abandon(&mut self, id: SessionId) {
         match self.state.sessions.get_mut(&id) {
             Some(s) if s.phase == Phase::Setup => s.phase = Phase::Answered,
@@ -188,14 +194,14 @@
         }
     }
 
-    /// Drops all that is known of a session, but for its server's books.
+    /// Removes all that is known of a session, except at its server.
     fn remove_session(&mut self, id: SessionId) {
         self.state.held.remove(id);
         self.free_seat(id);
         self.state.sessions.remove(&id);
     }
 
-    /// Counts a session that is not held any more to the seats of its title.
+    /// Counts a session that is no longer held against the seats of its title.
     fn take_seat(&mut self, id: SessionId) {
         let Some(s) = self.state.sessions.get(&id) else { return };
         let (class, title) = (s.request.class, s.request.title.clone());
@@ -203,7 +209,7 @@
         self.update_blocked(class, &title);
     }
 
-    /// Gives the seat of a session back, unless it is held and has none.
+    /// Frees the seat of a session, unless it is held and has none.
     fn free_seat(&mut self, id: SessionId) {
         let Some(s) = self.state.sessions.get(&id).filter(|s| s.phase != Phase::Held) else { return };
         let (class, title) = (s.request.class, s.request.title.clone());
@@ -211,13 +217,13 @@
         self.update_blocked(class, &title);
     }
 
-    /// Notes with the held sessions whether their title has a free seat.
+    /// Tells the queue of held sessions whether a title has a free seat.
     fn update_blocked(&mut self, class: usize, title: &Text) {
         let blocked = self.state.seats.taken(class, title) > 0 && !self.has_free_seat(class, title);
         self.state.held.set_blocked(class, title, blocked);
     }
 
-    /// What decides, besides the state of servers, whether a session can find one.
+    /// Returns what determines, besides the state of servers, whether a session can find a server.
     fn constraints(&self, id: SessionId) -> Constraints {
         let s = &self.state.sessions[&id];
         let (class, cells) = (s.request.class, self.settings.cells.max(1));
@@ -234,7 +240,7 @@
         }
     }
 
-    /// Sorts the held sessions anew after a change of the settings.
+    /// Updates the queue of held sessions after a change of the settings.
     fn reindex_held(&mut self) {
         for (class, title) in self.state.seats.all() {
             self.update_blocked(class, &title);
@@ -245,6 +251,7 @@
         }
     }
 
+    /// Counts a request for the popularity of its title.
     fn count_title_request(&mut self, request: &Request) {
         let now = self.state.now;
         let title = self.state.titles.entry(request.title.clone()).or_insert(TitleUsage {
--- a/src/module/brain/notes.rs
+++ b/src/module/brain/notes.rs
@@ -1,17 +1,19 @@
-//! What notes and reports tell.
+//! Evaluates notes and load reports of servers.
 
 use super::*;
 
-/// Delivered share under which sessions lose worth (the service's own bound).
+/// Sessions lose worth below this delivered share; it is the service's own bound.
 const FULL_DELIVERY: f64 = 0.98;
-/// Fullness by which a shortfall must exceed what the figures say to count as news.
+/// A shortfall must exceed the known utilization by this much to count as new information.
 const UNEXPLAINED_MARGIN: f64 = 0.05;
-/// A server that delivers short says so each second: one that has not for so long does not.
+/// How long a report of a shortfall stays valid: a server that delivers less than requested says so every
+/// second, so without a newer report the shortfall is over.
 const SHORTFALL_VALIDITY: Micros = Micros(1_500_000);
-/// Delivered share under which a server counts as standing still rather than short.
+/// Below this delivered share a server counts as standing still rather than as short of bandwidth.
 const STANDSTILL_DELIVERY: f64 = 0.3;
 
 impl Brain {
+    /// Applies a note, then cuts or raises rungs as needed.
     pub(super) fn handle_note(
         &mut self,
         id: SessionId,
@@ -48,9 +50,10 @@
         self.cut_rungs(rack, None, out);
     }
 
-    /// A server delivers less than is asked although its link seemed to have room. Where that was told
-    /// lately, others of its rack are short too and no report tells of uplinks, the uplink gives less than
-    /// was thought: were it taken for the link, its next note would undo it while all of the rack are short.
+    /// Handles a server that delivers less than requested although its link seemed to have room. If the link
+    /// was reported recently, other servers of its rack are short too, and uplinks are not reported, then the
+    /// uplink delivers less than assumed. Otherwise the shortfall would be attributed to the link, and the
+    /// link's next note would undo that while the whole rack is short.
     fn handle_shortfall(&mut self, i: usize, share: f64, measured_at: Micros) {
         let (utilization, rack, now) = (1.0 / share, self.state.servers[i].rack, self.state.now);
         self.state.servers[i].last_shortfall_at = Some(now);
@@ -70,7 +73,8 @@
         }
     }
 
-    /// Whether others of a server's rack are short too, or none of them would tell this front.
+    /// Whether other servers of a rack are short too, or none of them has sessions of this broker that would
+    /// show it.
     fn is_rack_short(&self, i: usize) -> bool {
         let others = || self.state.by_rack[self.state.servers[i].rack].iter().filter(|other| **other != i);
         let is_recent = |at: Micros| self.state.now - at <= SHORTFALL_VALIDITY;
@@ -78,7 +82,8 @@
             || others().all(|other| self.state.servers[*other].sessions.is_empty())
     }
 
-    /// Reports in answers are noisy and of uncertain age: they count only where no note is fresh.
+    /// Applies a load report from an answer. These reports are noisy and of uncertain age, so they count only
+    /// if no recent note exists.
     pub(super) fn apply_load_report(&mut self, i: usize, load: Load) {
         let (now, rack, max_age) = (
             self.state.now,
--- a/src/module/brain/refusals.rs
+++ b/src/module/brain/refusals.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Brain {
-    /// The final answer to a session that will not play: refused if no attempt can have run or a repeat does
-    /// no harm, else failed.
+    /// Sends the final answer to a session that will not play: refused if no attempt can have run or a repeat
+    /// does no harm, otherwise failed.
     pub(super) fn send_final_answer(&mut self, id: SessionId, out: &mut Vec<Action>) {
         let Some(s) = self.state.sessions.get(&id) else { return };
         let is_repeatable = match self.settings.classes[s.request.class].idempotency {
--- a/src/module/brain/retries.rs
+++ b/src/module/brain/retries.rs
@@ -1,27 +1,27 @@
-//! Time-outs and further attempts.
+//! Timeouts and further attempts.
 
 use super::*;
 
-/// Seconds that a set-up is taken to need before any was seen.
+/// The assumed set-up time before any was observed, in seconds.
 pub(super) const INITIAL_SETUP_S: f64 = 0.1;
-/// Weight of a new set-up in the usual time of one.
+/// The weight of a new set-up in the mean set-up time.
 pub(super) const SETUP_TIME_WEIGHT: f64 = 0.1;
-/// A look that comes so much later than asked tells that this front itself stood still.
+/// A periodic check that comes this much later than due shows that this process itself was stalled.
 pub(super) const PROCESS_STALL: Micros = Micros(150_000);
-/// Time between looks at held sessions, time limits and raises.
+/// The time between periodic checks of held sessions, time limits and raises.
 pub(super) const CHECK_INTERVAL: Micros = Micros(50_000);
-/// Part of what is left of the aim that one attempt may take.
+/// The share of the remaining objective that one attempt may take.
 const ATTEMPT_SLO_SHARE: f64 = 0.5;
-/// An attempt gets at least this multiple of the usual set-up time.
+/// An attempt gets at least this multiple of the mean set-up time.
 const MIN_ATTEMPT_SETUP_FACTOR: f64 = 3.0;
 
 impl Brain {
-    /// The budget of attempts beyond each session's first, counting the one in question.
+    /// Whether the retry budget permits an attempt for a session; first attempts are always permitted.
     pub(super) fn allows_attempt(&self, id: SessionId) -> bool {
         self.state.sessions[&id].attempts == 0 || self.has_retry_budget()
     }
 
-    /// Whether the budget has room for one more.
+    /// Whether the budget has room for one more retry.
     pub(super) fn has_retry_budget(&self) -> bool {
         let Some(budget) = self.settings.budget else { return true };
         let is_expired = |at: &Micros| self.state.now - *at >= budget.span;
@@ -30,7 +30,8 @@
             <= budget.floor + budget.ratio * count_recent(&self.state.recent_requests) as f64
     }
 
-    /// An attempt of a repeatable class leaves room for another within the aim; others get all the time.
+    /// Returns the timeout of the next attempt. For repeatable classes it leaves time for another attempt
+    /// within the objective; other classes get all the time.
     pub(super) fn attempt_timeout(&self, id: SessionId) -> Micros {
         let s = &self.state.sessions[&id];
         let class = &self.settings.classes[s.request.class];
@@ -46,15 +47,18 @@
         .min(time_left)
     }
 
-    /// The end of an attempt is not written yet. Where second copies are not allowed the session waits for
-    /// that, or for its own time: a server that reads nothing may still set up what it was sent. May hurt
-    /// while that server's connection is stalled: it ends soon, and then the next attempt begins.
+    /// Marks an attempt as withdrawn whose withdrawal is not written to the server yet. Where duplicates are
+    /// not allowed, the session waits for that or for its own deadline: a server that reads nothing may still
+    /// set up what it was sent. The cost: the session waits while that server's connection is stalled, but
+    /// the connection ends soon, and then the next attempt begins.
     pub(super) fn handle_withdrawing(&mut self, id: SessionId) {
         if let Some(session) = self.state.sessions.get_mut(&id).filter(|s| s.phase == Phase::Setup) {
             session.withdrawing = true;
         }
     }
 
+    /// Handles the end of an attempt: updates the server's health, then ends the session, sends its final
+    /// answer or holds it for another attempt.
     pub(super) fn handle_outcome(
         &mut self,
         id: SessionId,
@@ -67,7 +71,7 @@
         if let Some(&i) = self.state.server_indexes.get(server) {
             let is_playing = self.state.sessions.get(&id).is_some_and(|s| s.phase == Phase::Playing);
             match status {
-                // This front stood still and hears late of all that came meanwhile: no server is to blame.
+                // This process was stalled and handles late all that came meanwhile: no server is to blame.
                 Status::TimedOut if self.state.resumed_at == Some(now) => {}
                 Status::TimedOut if self.is_isolated_timeout(i, id) => {}
                 Status::TimedOut => self.distrust(i, "no answer in time", out),
--- a/src/module/brain/rungs.rs
+++ b/src/module/brain/rungs.rs
@@ -1,42 +1,49 @@
-//! The rung rule: raises and cuts.
+//! Decides when sessions are raised to a higher rung and cut to a lower one.
 
 use super::*;
 
-/// Fullness up to which the top rung plays: true rates wander by hundredths and shortfall costs a multiple.
+/// The utilization up to which the top rung plays: actual rates vary by a few hundredths, and a shortfall
+/// costs a multiple of the missing rate.
 pub(super) const TOP_RUNG_LIMIT: f64 = 0.82;
-/// Fullness that each lower rung may use above the mark.
+/// The utilization that each lower rung may use above that limit.
 const LIMIT_PER_RUNG: f64 = 0.05;
-/// Fullness that no rung may use.
+/// The utilization that no rung may exceed.
 pub(super) const MAX_LIMIT: f64 = 0.97;
-/// The level of steps that are worth nothing or cost.
+/// The level of steps that are worth nothing or less.
 const MIN_LEVEL: f64 = -3.0;
-/// Fullness by which a raise stays under its limit, so that the next note does not undo it.
+/// The utilization by which a raise stays below its limit, so that the next note does not undo it.
 const RAISE_MARGIN: f64 = 0.03;
-/// Switches that a raise must pay for within the horizon: its own, and likely that of a later cut.
+/// The number of switches that a raise must pay for within the horizon: its own and that of a likely later
+/// cut.
 const RAISE_SWITCH_COUNT: f64 = 2.0;
-/// Own parts of the room that a front's raises take: some fronts' sessions are at their top already, or may
-/// not change yet. In a front's first ten seconds none has changed, and one part is enough.
+/// The multiple of its own share of the room that a broker's raises may take, because some brokers' sessions
+/// are at their top already or may not change yet. In a broker's first ten seconds none of its sessions has
+/// changed, and one share is enough.
 const RAISE_SHARE_FACTOR: f64 = 2.0;
-/// A playing session's step is cut at its limit, which lies so many times as far from the mark as that of a
-/// newcomer: steps of more worth are given up late, as each change costs a switch.
+/// The limit at which a playing session's step is cut lies this many times as far from the limit of the top
+/// rung as that of a new session: steps of more worth are given up late, as each change costs a switch.
 const CUT_LIMIT_FACTOR: f64 = 3.0;
-/// No step's limit for playing sessions lies above this: a link that gives less than is asked costs all
-/// sessions there several points of worth for each that is missing, and a cut costs one of them one switch.
+/// No step's limit for playing sessions lies above this: a link that delivers less than requested costs all
+/// sessions there several points of worth for each missing point, while a cut costs one of them one switch.
 const MAX_CUT_LIMIT: f64 = 1.0;
-/// Fullness over its limit at which playing sessions are cut unasked; small swings cost no switches.
+/// The utilization above its limit at which playing sessions are cut without a new session; small
+/// fluctuations cause no switches.
 const CUT_HYSTERESIS: f64 = 0.12;
-/// Least time between changes of a playing session's rung (the design's limit).
+/// The minimum time between rung changes of a playing session, set by the design.
 pub(super) const MIN_CHANGE_INTERVAL: Micros = Micros(10_000_000);
-/// Seconds over which a change must pay for its switch: about what the limit above makes it last.
+/// The seconds over which a change must pay for its switch: about as long as a change lasts under the limit
+/// above.
 const CHANGE_HORIZON_S: f64 = 10.0;
 
-/// What of a link and of the uplink is a front's to give or take: for a unit, a limit and a step's rate.
+/// Returns how much of a link's and of the uplink's rate this broker may give up or take, for a group, a
+/// limit and the rate of a step.
 type Surplus<'a> = &'a dyn Fn(&RungGroup, f64, f64) -> [f64; 2];
 
 impl Brain {
-    /// How many rungs under the top a step up to `rung` counts, by its worth for each kB. For the usual worth
-    /// on the ladder's last step it is 0, and a step of the ladder lower counts about 1 more; a heavier
-    /// class, a shared stream or the price of the switch count like steps.
+    /// Returns the level of a step up to `rung`, by its worth per kB: about the number of rungs that it
+    /// counts below the top. The last step of the ladder at the usual worth has level 0, and each lower step
+    /// counts about 1 more. A heavier class, a shared stream or the price of the switch shift the level like
+    /// steps.
     pub(super) fn level(&self, group: &RungGroup, rung: usize, switch: f64) -> f64 {
         let (w, kb, last) =
             (&self.settings.rung_worth, &self.settings.rung_kb, self.settings.rung_kb.len() - 1);
@@ -52,11 +59,13 @@
         ((density / reference).max(1e-6).ln() / ratio.max(1.1).ln()).clamp(MIN_LEVEL, 2.0 * last as f64)
     }
 
+    /// Returns the utilization up to which a step of this level may be used.
     pub(super) fn utilization_limit(level: f64) -> f64 {
         (TOP_RUNG_LIMIT + LIMIT_PER_RUNG * level)
             .clamp(TOP_RUNG_LIMIT + MIN_LEVEL * LIMIT_PER_RUNG, MAX_LIMIT)
     }
 
+    /// Returns the groups of sessions of these servers that change their rung together.
     pub(super) fn rung_groups(&self, servers: &[usize], newcomer: Option<SessionId>) -> Vec<RungGroup> {
         let mut groups: Vec<RungGroup> = Vec::new();
         let mut shared: BTreeMap<(usize, usize, usize, &Text), usize> = BTreeMap::new();
@@ -97,7 +106,7 @@
         groups
     }
 
-    /// This front's part of what is asked of one link, or of a rack's uplink.
+    /// Returns this broker's share of the demand on one link or on a rack's uplink.
     pub(super) fn own_share(
         &self,
         groups: &[RungGroup],
@@ -111,16 +120,17 @@
         (own_kb / (utilization * kb).max(1.0)).clamp(0.0, 1.0)
     }
 
-    /// Rate of a unit's step up to a rung.
+    /// Returns the rate of a group's step up to a rung.
     pub(super) fn step_kb(&self, group: &RungGroup, rung: usize) -> f64 {
         let n = group.ids.len();
         self.settings.stream_kb(group.class, n, rung)
             - self.settings.stream_kb(group.class, n, rung.saturating_sub(1))
     }
 
-    /// Steps down or up, those worth least or most for each kB first; several steps make one change. `left`
-    /// tells what of a link and of the uplink is still this front's to give or take at a limit. A step larger
-    /// than that is made at odds: fronts that hold a session each would else never do their part.
+    /// Plans steps down or up, those with the least or the most worth per kB first; several steps make one
+    /// change. `surplus` returns how much of a link and of the uplink this broker may still give up or take
+    /// at a limit. A step larger than that is made with the corresponding probability; otherwise brokers with
+    /// one session each would never do their part.
     pub(super) fn plan_changes(
         &mut self,
         groups: &[RungGroup],
@@ -133,7 +143,7 @@
         loop {
             let step = |k: usize| {
                 let (group, rung) = (&groups[k], target[k] + usize::from(is_raise));
-                // A change is paid for once, however many steps it has.
+                // A change pays for one switch, however many steps it has.
                 let pays_for_switch = group.is_playing && target[k] == group.rung;
                 let switch =
                     f64::from(u8::from(pays_for_switch)) * if is_raise { -RAISE_SWITCH_COUNT } else { 1.0 };
@@ -175,9 +185,10 @@
         }
     }
 
-    /// Cuts: while a link or the uplink is fuller than the limit of the step that is worth least for each kB,
-    /// that step goes. Of what was too much before, each front takes away its own part; of what a newcomer
-    /// adds, all. Answers weaker links and uplinks too, whatever the cause.
+    /// Cuts rungs: while a link or the uplink is above the limit of the step with the least worth per kB,
+    /// that step is taken back. Each broker removes its own share of an excess that existed before, and all
+    /// of what a new session adds. This also handles links and uplinks that have become weaker, whatever the
+    /// cause.
     pub(super) fn cut_rungs(
         &mut self,
         rack: usize,
@@ -205,7 +216,7 @@
         self.apply_changes(&groups, &targets, newcomer.map(|(id, _)| id), out);
     }
 
-    /// Raises, on fresh figures only and only while the room after it is this front's to take.
+    /// Raises rungs, only on recent reports and only while the room left after it is this broker's to take.
     pub(super) fn raise_rungs(&mut self, i: usize, out: &mut Vec<Action>) {
         let max_age = self.settings.load_note_interval + self.settings.note_delay + self.settings.note_delay;
         if !self.state.servers[i].link.is_fresh(self.state.now, max_age) || !self.is_trusted(i) {
@@ -230,6 +241,7 @@
         self.apply_changes(&groups, &targets, None, out);
     }
 
+    /// Sets the target rungs; the rung of a new session is sent with its set-up.
     pub(super) fn apply_changes(
         &mut self,
         groups: &[RungGroup],
--- a/src/module/brain/shares.rs
+++ b/src/module/brain/shares.rs
@@ -1,13 +1,14 @@
-//! Square-root shares and groups of titles.
+//! Square-root shares of streams, and groups of titles.
 
 use super::*;
 
-/// Half-life of popularity, seconds (the design's).
+/// The half-life of popularity, in seconds; set by the design.
 pub(super) const POPULARITY_HALF_LIFE_S: f64 = 10.0;
 
 impl Brain {
-    /// Groups of titles, the most popular first, with each group's streams in use and its share of all.
-    /// C_m = C·√(f_m·L_m)/Σ√(f_i·L_i); a group ends where expected batch sizes differ by more than one.
+    /// Returns groups of titles, the most popular first, with each group's streams in use and its share of
+    /// all streams. The share of a title is C_m = C·√(f_m·L_m)/Σ√(f_i·L_i); a group ends where expected batch
+    /// sizes differ by more than one.
     pub(super) fn title_groups(&self, servers_with_room: usize) -> Vec<(BTreeSet<Text>, f64, f64)> {
         let streams_in_use = self.state.streams_by_title(|class| self.settings.classes[class].live);
         let streams: usize = streams_in_use.values().map(BTreeSet::len).sum();
@@ -18,7 +19,7 @@
         let total: f64 = titles.iter().map(|t| t.1).sum();
         let roots: f64 = titles.iter().map(|t| (t.1 * t.2).sqrt()).sum();
         let channels = (streams + servers_with_room) as f64;
-        // Similar lengths: the same power of two.
+        // Durations within the same power of two count as similar.
         titles.sort_by(|a, b| {
             let by_duration = a.2.log2().floor().total_cmp(&b.2.log2().floor());
             by_duration.then(b.1.total_cmp(&a.1)).then(a.0.cmp(b.0))
@@ -27,7 +28,7 @@
         let mut first_of_group: Option<(f64, f64)> = None;
         for (name, popularity, duration_s) in titles {
             let share = channels * (popularity * duration_s).sqrt() / roots.max(1e-9);
-            // λ·L is the number of viewers at hand, so that B = f·λ·L/C_m.
+            // λ·L is the number of current viewers, so that B = f·λ·L/C_m.
             let batch = popularity / total.max(1e-9) * viewers / share.max(1e-9);
             let in_use = streams_in_use.get(name).map_or(0, BTreeSet::len) as f64;
             let octave = duration_s.log2().floor();
@@ -46,7 +47,8 @@
         groups
     }
 
-    /// Worth of a tenant's next request beside the usual: what runs beyond its share counts less.
+    /// Returns the worth of a tenant's next request relative to the usual: requests beyond its quota count
+    /// less.
     pub(super) fn tenant_worth_factor(&self, tenant: usize) -> f64 {
         let quota = self.settings.tenants.get(tenant).and_then(|t| t.quota_per_s);
         let (Some(quota), Some((requests, at))) = (quota, self.state.tenants.get(tenant)) else {
--- a/src/module/brain/timers.rs
+++ b/src/module/brain/timers.rs
@@ -1,16 +1,17 @@
-//! The module's timers: looks at all that waits, and at requests whose time has come. Nothing is decided here.
+//! The module's timers: the periodic check of all waiting sessions, and the deadlines of requests. No
+//! decisions are made here.
 
 use super::retries::CHECK_INTERVAL;
 use super::*;
 use crate::mutant::{self, Mutant};
 
-/// Asks for a look at all that waits.
+/// Token of the timer for the periodic check.
 pub(super) const CHECK_TIMER: u64 = 0;
-/// Asks for a look at what is due.
+/// Token of the timer for the next deadline.
 pub(super) const DEADLINE_TIMER: u64 = 1;
 
 impl Brain {
-    /// Looks at all that waits; what is no longer counted is forgotten.
+    /// Checks all waiting sessions and forgets what no longer counts.
     pub(super) fn run_periodic_check(&mut self, out: &mut Vec<Action>) {
         self.state.is_check_scheduled = false;
         self.state.lateness.record(self.state.now, self.state.next_check_at);
@@ -23,7 +24,7 @@
         self.state.titles.retain(|_, t| decayed(t.recent_requests, now - t.updated_at) > 0.001);
     }
 
-    /// Notes a new request's deadline; asks for a timer if it must be answered before the next look.
+    /// Records a new request's deadline, and requests a timer if it must be answered before the next check.
     pub(super) fn schedule_deadline(&mut self, id: SessionId, out: &mut Vec<Action>) {
         let s = &self.state.sessions[&id];
         let (deadline, last_attempt_start) = (s.request.due, self.last_attempt_start(s));
@@ -33,20 +34,20 @@
         }
     }
 
-    /// When a request that was not answered yet gets its answer.
+    /// Returns when a request that has no answer yet gets its final answer.
     fn answer_due_at(&self, s: &Session) -> Option<Micros> {
         match s.phase {
             Phase::Held if mutant::on(Mutant::ForgottenDeadline) => None,
-            // No attempt of it can begin any more.
+            // None of its attempts can begin any more.
             Phase::Held => Some(self.last_attempt_start(s)),
             Phase::Setup if s.withdrawing => Some(self.last_attempt_start(s)),
-            // Its attempt ends by itself before this.
+            // Its attempt ends by its own timeout before this.
             Phase::Setup => Some(s.request.due - Micros(self.settings.tick.0 * 2)),
             Phase::Playing | Phase::Answered => None,
         }
     }
 
-    /// Answers what is due, and asks for a timer for what will be before the next look.
+    /// Answers requests that are due, and requests a timer for those that are due before the next check.
     pub(super) fn answer_due_requests(&mut self, out: &mut Vec<Action>) {
         let now = self.state.now;
         let usual = Micros::from_secs(self.state.mean_setup_s);
