--- a/src/module/lateness.rs
+++ b/src/module/lateness.rs
@@ -2,11 +2,11 @@
 
 use super::api::Micros;
 
-/// Lateness recurs with each turn while a process is short of processor time, so that a second without any is enough
-/// to halve what is expected.
+/// The half-life of the expected lateness. While a process is short of processor time, lateness recurs with
+/// each turn, so a second without any is enough to halve it.
 const HALF_LIFE: Micros = Micros(1_000_000);
 
-/// The greatest lateness seen of late; older ones count for less.
+/// The greatest recent lateness; older values count less.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Lateness {
     worst: Micros,
@@ -14,7 +14,7 @@
 }
 
 impl Lateness {
-    /// A timer that was due at `due` is handled now.
+    /// Records that a timer that was due at `due` is handled now.
     pub(crate) fn record(&mut self, now: Micros, due: Micros) {
         let lateness = now - due;
         if lateness >= self.expected(now) {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// How late a timer may be handled from now on.
+    /// Returns how late a timer may be handled from now on.
     pub(crate) fn expected(&self, now: Micros) -> Micros {
         let half_lives = (now - self.seen_at).secs() / HALF_LIFE.secs();
         Micros::from_secs(self.worst.secs() * 0.5f64.powf(half_lives))
--- a/src/module/seats.rs
+++ b/src/module/seats.rs
@@ -1,22 +1,22 @@
-//! Count of the sessions of each class and title that are not held, which is what a cap on seats is about.
+//! Counts the sessions of each class and title that are not held; a limit on seats applies to them.
 
 use std::collections::BTreeMap;
 
 use super::api::Text;
 
-/// Sessions that sit, by class and title.
+/// The number of taken seats, by class and title.
 #[derive(Debug, Default)]
 pub(crate) struct Seats {
     taken: BTreeMap<(usize, Text), u32>,
 }
 
 impl Seats {
-    /// One more sits.
+    /// Takes a seat.
     pub(crate) fn take(&mut self, class: usize, title: &Text) {
         *self.taken.entry((class, title.clone())).or_default() += 1;
     }
 
-    /// One leaves.
+    /// Frees a seat.
     pub(crate) fn free(&mut self, class: usize, title: &Text) {
         let key = (class, title.clone());
         let left = self.taken.get(&key).map_or(0, |taken| taken.saturating_sub(1));
@@ -27,12 +27,12 @@
         }
     }
 
-    /// How many sit.
+    /// Returns the number of taken seats.
     pub(crate) fn taken(&self, class: usize, title: &Text) -> u32 {
         self.taken.get(&(class, title.clone())).copied().unwrap_or(0)
     }
 
-    /// Classes and titles of which any sit.
+    /// Returns the classes and titles with any taken seat.
     pub(crate) fn all(&self) -> Vec<(usize, Text)> {
         self.taken.keys().cloned().collect()
     }
--- a/src/module/state.rs
+++ b/src/module/state.rs
@@ -1,4 +1,4 @@
-//! What a front remembers. Bookkeeping only; every decision is in the files of `module/brain`.
+//! The state of the decision module. Bookkeeping only; every decision is made in the files of `module/brain`.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -11,37 +11,44 @@
 use super::uplinks::UplinkEstimate;
 use super::waiting::HeldQueue;
 
-/// A server that is gone is remembered for so long: longer than any request that was sent there waits.
+/// How long a removed server is kept: longer than any request that was sent there waits.
 const GONE_SERVER_RETENTION: Micros = Micros(30_000_000);
+
+/// A server, with what its answers and notes have shown.
 #[derive(Debug, Default)]
 pub(crate) struct Server {
     pub(crate) entry: ServerEntry,
     pub(crate) rack: usize,
+    /// The utilization of its link.
     pub(crate) link: Gauge,
+    /// The sessions of this broker at the server.
     pub(crate) sessions: BTreeSet<SessionId>,
+    /// When a set-up was last sent there.
     pub(crate) last_sent_at: Option<Micros>,
     pub(crate) consecutive_failures: u32,
     pub(crate) distrust_until: Micros,
+    /// When it will have warmed up; [`Micros::MAX`] while it may have restarted unnoticed.
     pub(crate) warm_up_until: Micros,
-    /// When it would be warm, had it not failed.
+    /// When it would have warmed up without its last failure.
     pub(crate) warm_up_until_before_failure: Micros,
     pub(crate) last_failed_at: Micros,
     pub(crate) last_answered_at: Micros,
-    /// When it was last told that it delivers less than is asked.
+    /// When it last reported that it delivers less than requested.
     pub(crate) last_shortfall_at: Option<Micros>,
-    /// Part of its last answers that were errors.
+    /// The share of its recent answers that were errors.
     pub(crate) error_rate: f64,
-    /// When an answer of it went missing last.
+    /// When an attempt there last timed out.
     pub(crate) last_timeout_at: Option<Micros>,
-    /// When the list last told of it, for one that is gone.
+    /// When it was last listed; for a removed server, when its removal was noticed.
     pub(crate) last_listed_at: Micros,
-    /// It turned a set-up away for want of places: not asked again before this.
+    /// It rejected a set-up as saturated and gets none before this time.
     pub(crate) saturated_until: Micros,
     pub(crate) consecutive_saturations: u32,
 }
 
 impl Server {
-    /// Whether a connection to it is likely up: sessions of this front are there, or one was sent lately.
+    /// Whether a connection to it is probably open: it has sessions of this broker, or one was sent there
+    /// recently.
     pub(crate) fn is_likely_connected(&self, now: Micros, idle: Micros) -> bool {
         let kept =
             |at: Micros| at > self.last_failed_at && (idle == Micros(0) || now - at < Micros(idle.0 / 2));
@@ -49,30 +56,35 @@
     }
 }
 
+/// The popularity of a title and the estimated duration of its sessions.
 #[derive(Debug)]
 pub(crate) struct TitleUsage {
+    /// The number of requests, decayed with the half-life of popularity.
     pub(crate) recent_requests: f64,
     pub(crate) updated_at: Micros,
     pub(crate) duration_hint_s: f64,
 }
 
+/// The phase of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Phase {
     #[default]
     Held,
     Setup,
     Playing,
-    /// Answered, with an attempt still out.
+    /// The final answer was sent or the viewer left, but an attempt is still outstanding.
     Answered,
 }
 
+/// A request and, once it was sent, its session.
 #[derive(Debug, Default)]
 pub(crate) struct Session {
     pub(crate) request: Request,
     pub(crate) phase: Phase,
-    /// Its attempt is given up, and the end of it is not written yet.
+    /// Whether its attempt is withdrawn and the withdrawal is not written to the server yet.
     pub(crate) withdrawing: bool,
     pub(crate) arrived_at: Micros,
+    /// When its last attempt was sent or, later, when its set-up was done.
     pub(crate) started_at: Micros,
     pub(crate) server: usize,
     pub(crate) attempts: u32,
@@ -86,7 +98,8 @@
     pub(crate) tried_servers: Vec<usize>,
 }
 
-/// What changes its rung as one: a recorded session, or the viewers of a shared stream.
+/// Sessions that change their rung together: one session of a recorded title, or the viewers of a shared
+/// stream.
 #[derive(Debug)]
 pub(crate) struct RungGroup {
     pub(crate) ids: Vec<SessionId>,
@@ -100,50 +113,55 @@
     pub(crate) is_playing: bool,
 }
 
-/// The end of this front.
+/// A shutdown of this process.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shutdown {
-    /// When it was told of it.
+    /// When it was announced.
     pub(crate) announced_at: Micros,
-    /// By then each request is answered.
+    /// When each request must be answered.
     pub(crate) answer_by: Micros,
 }
 
-/// All of it.
+/// The whole state of the decision module.
 #[derive(Debug, Default)]
 pub(crate) struct ModuleState {
     pub(crate) now: Micros,
     pub(crate) server_indexes: BTreeMap<ServerId, usize>,
     pub(crate) servers: Vec<Server>,
-    /// Servers by cell and by rack, the removed ones left out.
+    /// Servers by cell and by rack, without the removed ones; a rack keeps those that still have sessions.
     pub(crate) by_cell: BTreeMap<u64, Vec<usize>>,
     pub(crate) by_rack: Vec<Vec<usize>>,
-    /// When the front began.
+    /// When the module handled its first event.
     pub(crate) started_at: Option<Micros>,
-    /// Cold turns that began before this are another process' of the same front.
+    /// Warm-up turns that began before this belong to another process with the same broker index.
     pub(crate) warm_up_turns_from: Micros,
-    /// This front was told to end.
+    /// The shutdown, once it is announced.
     pub(crate) shutdown: Option<Shutdown>,
+    /// The mean utilization of all links, and when it was computed.
     pub(crate) mean_utilization: f64,
     pub(crate) mean_utilization_at: Micros,
+    /// The utilization of each rack's uplink.
     pub(crate) uplinks: Vec<Gauge>,
-    /// What their uplinks are taken to give.
+    /// Estimated capacities of the racks' uplinks.
     pub(crate) uplink_estimates: Vec<UplinkEstimate>,
     pub(crate) sessions: BTreeMap<SessionId, Session>,
     pub(crate) deadlines: Deadlines,
     pub(crate) lateness: Lateness,
     pub(crate) held: HeldQueue,
     pub(crate) seats: Seats,
-    /// Searches for a server so far.
+    /// The number of searches for a server so far.
     pub(crate) searches: Cell<u64>,
     pub(crate) titles: BTreeMap<Text, TitleUsage>,
+    /// Each tenant's decayed number of requests and when it was updated.
     pub(crate) tenants: Vec<(f64, Micros)>,
+    /// Times of accepted requests, for the retry budget.
     pub(crate) recent_requests: VecDeque<Micros>,
+    /// Times of the attempts beyond the first of each session, for the retry budget.
     pub(crate) recent_retries: VecDeque<Micros>,
     pub(crate) mean_setup_s: f64,
     pub(crate) mean_worth: f64,
     pub(crate) is_check_scheduled: bool,
-    /// When the next look is due, and when this front last woke from standing still.
+    /// When the next periodic check is due, and when this process last resumed after a stall.
     pub(crate) next_check_at: Micros,
     pub(crate) resumed_at: Option<Micros>,
     pub(crate) saturation_logged_at: Micros,
@@ -155,15 +173,15 @@
         self.searches.set(self.searches.get() + 1);
     }
 
-    /// Notes a change of what this front asks of a server's link and its rack's uplink.
+    /// Records a change of this broker's demand on a server's link and its rack's uplink.
     pub(crate) fn add_own_change(&mut self, i: usize, kb: f64) {
         let server = &mut self.servers[i];
         server.link.add_own_change(self.now, kb);
         self.uplinks[server.rack].add_own_change(self.now, kb);
     }
 
-    /// Takes a new server in, in the place of one that has been gone for so long that no request can name it any
-    /// more: ids come and go all day.
+    /// Adds a new server. It takes the place of one that was removed so long ago that no request can refer to
+    /// it any more, as server ids come and go all day.
     pub(crate) fn insert_server(&mut self, server: Server) {
         let now = self.now;
         let is_reusable = |s: &Server| {
@@ -182,7 +200,7 @@
         self.server_indexes.insert(id, i);
     }
 
-    /// Sorts the servers by cell and by rack.
+    /// Rebuilds the indexes of servers by cell and by rack.
     pub(crate) fn index_servers(&mut self, cells: u32) {
         self.by_cell.clear();
         self.by_rack.iter_mut().for_each(Vec::clear);
@@ -196,7 +214,7 @@
         }
     }
 
-    /// Streams in use by title: server, rung and, unless viewers share it, the session.
+    /// Returns the streams in use by title.
     pub(crate) fn streams_by_title(
         &self,
         is_live: impl Fn(usize) -> bool,
@@ -210,7 +228,7 @@
         used
     }
 
-    /// Other sessions at a server with this one's title and class, at a rung.
+    /// Returns the number of other sessions at a server and rung with the title and class of this one.
     pub(crate) fn count_alike(&self, i: usize, id: SessionId, rung: usize) -> usize {
         let Some(s) = self.sessions.get(&id) else { return 0 };
         let others =
--- a/src/module/uplinks/tests.rs
+++ b/src/module/uplinks/tests.rs
@@ -18,7 +18,7 @@
         uplink.record_shortfall(900.0, 0.8, seconds(s));
     }
     let estimate = uplink.capacity_kb(seconds(20));
-    // Between two shortfalls a second apart a little of what is missing comes back.
+    // Between two shortfalls a second apart, a little of the missing capacity recovers.
     assert!((720.0..780.0).contains(&estimate), "{estimate}");
 }
 
--- a/src/module/waiting.rs
+++ b/src/module/waiting.rs
@@ -1,41 +1,43 @@
-//! Queue of the held sessions, indexed by title and by what decides where a session may go. Bookkeeping only.
+//! The queue of held sessions, indexed by title and by what determines where a session may go. Bookkeeping
+//! only, no decisions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
 use super::api::{SessionId, Text};
 
-/// What decides, together with the state of servers, whether a held session can find one.
+/// What determines, together with the state of servers, whether a held session can find one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Constraints {
-    /// Index of its class.
+    /// The index of its class.
     pub(crate) class: usize,
-    /// First cell that holds its title.
+    /// The first cell that holds its title.
     pub(crate) home: u32,
-    /// So many cells in a row hold it.
+    /// The number of consecutive cells that hold it.
     pub(crate) copies: u32,
     /// Its lowest rung.
     pub(crate) min_rung: usize,
-    /// It was sent before.
+    /// Whether it was sent before.
     pub(crate) is_retry: bool,
-    /// The server whose group it must stay in, as an attempt may have run there.
+    /// The server where an attempt may have run; the session must stay in the group that recognises a repeat.
     pub(crate) possible_run_server: Option<usize>,
-    /// The time in which that group recognises a repeat is over.
+    /// Whether the time is over in which that group recognises a repeat.
     pub(crate) is_key_window_over: bool,
 }
 
-/// What held sessions with the same constraints find at best.
+/// The best that held sessions with the same constraints can find.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Availability {
-    /// A server that takes those whose patience has ended.
+    /// Whether any server accepts sessions that have waited long enough.
     pub(crate) has_server: bool,
-    /// One that may show room to those that were never sent.
+    /// Whether any server may have room for sessions that were never sent.
     pub(crate) has_room: bool,
 }
 
+/// What was found for each set of constraints; valid until a session is sent.
 pub(crate) type AvailabilityByConstraints = BTreeMap<Constraints, Availability>;
 
-/// A place in the queue; the lower goes first.
+/// A position in the queue; the lowest is first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuePosition(i64);
 
@@ -46,26 +48,26 @@
     constraints: Constraints,
 }
 
-/// Held sessions: those that were sent before, the latest first, then the others in the order of their arrival.
+/// Held sessions: those that were sent before, the latest first, then the others in order of arrival.
 #[derive(Debug, Default)]
 pub(crate) struct HeldQueue {
     queue: BTreeMap<QueuePosition, SessionId>,
     entries: BTreeMap<SessionId, Entry>,
     titles: BTreeMap<Text, BTreeSet<QueuePosition>>,
-    /// The first session of each title that is not blocked.
+    /// The first session of each title, unless the title is blocked.
     first_by_constraints: BTreeMap<Constraints, BTreeSet<QueuePosition>>,
     /// Classes and titles without a free seat.
     blocked: BTreeSet<(usize, Text)>,
 }
 
 impl HeldQueue {
-    /// Takes a session in behind all others.
+    /// Adds a session behind all others.
     pub(crate) fn push_back(&mut self, id: SessionId, title: Text, constraints: Constraints) {
         let position = self.queue.last_key_value().map_or(0, |(last, _)| last.0 + 1);
         self.insert(id, Entry { position: QueuePosition(position), title, constraints });
     }
 
-    /// Takes a session in before all others.
+    /// Adds a session before all others.
     pub(crate) fn push_front(&mut self, id: SessionId, title: Text, constraints: Constraints) {
         let position = self.queue.first_key_value().map_or(0, |(first, _)| first.0 - 1);
         self.insert(id, Entry { position: QueuePosition(position), title, constraints });
@@ -81,7 +83,7 @@
         self.index_first(&title);
     }
 
-    /// Takes a session out, if it is held.
+    /// Removes a session, if it is held.
     pub(crate) fn remove(&mut self, id: SessionId) {
         let Some(title) = self.entries.get(&id).map(|entry| entry.title.clone()) else { return };
         self.unindex_first(&title);
@@ -92,7 +94,7 @@
         self.index_first(&title);
     }
 
-    /// Notes that a session's constraints are others now.
+    /// Updates the constraints of a session.
     pub(crate) fn update_constraints(&mut self, id: SessionId, constraints: Constraints) {
         let Some(entry) = self.entries.get(&id).filter(|entry| entry.constraints != constraints) else {
             return;
@@ -103,7 +105,7 @@
         self.index_first(&title);
     }
 
-    /// Notes whether sessions of a class and title have a free seat.
+    /// Sets whether sessions of a class and title lack a free seat.
     pub(crate) fn set_blocked(&mut self, class: usize, title: &Text, blocked: bool) {
         if self.blocked.contains(&(class, title.clone())) == blocked {
             return;
@@ -117,11 +119,13 @@
         self.index_first(title);
     }
 
+    /// Returns the first held session of a title.
     fn first_of_title(&self, title: &Text) -> Option<&Entry> {
         let position = self.first_position(title)?;
         self.entries.get(self.queue.get(&position)?)
     }
 
+    /// Adds the first session of a title to the index by constraints, unless the title is blocked.
     fn index_first(&mut self, title: &Text) {
         let Some((position, constraints)) =
             self.first_of_title(title).map(|first| (first.position, first.constraints))
@@ -133,6 +137,7 @@
         }
     }
 
+    /// Removes the first session of a title from the index by constraints.
     fn unindex_first(&mut self, title: &Text) {
         if let Some((position, constraints)) =
             self.first_of_title(title).map(|first| (first.position, first.constraints))
@@ -146,33 +151,33 @@
         self.entries.contains_key(&id)
     }
 
-    /// Number of held sessions.
+    /// Returns the number of held sessions.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Held sessions in their order.
+    /// Returns the held sessions in order.
     pub(crate) fn ids(&self) -> Vec<SessionId> {
         self.queue.values().copied().collect()
     }
 
-    /// Held sessions of a title in their order.
+    /// Returns the held sessions of a title in order.
     pub(crate) fn of_title(&self, title: &Text) -> Vec<SessionId> {
         let positions = self.titles.get(title).into_iter().flatten();
         positions.filter_map(|position| self.queue.get(position).copied()).collect()
     }
 
-    /// The turn of the first held session of a title.
+    /// Returns the position of the first held session of a title.
     pub(crate) fn first_position(&self, title: &Text) -> Option<QueuePosition> {
         self.titles.get(title)?.first().copied()
     }
 
-    /// Constraints of the titles' first sessions, each once.
+    /// Returns the constraints of the titles' first sessions, each once.
     pub(crate) fn first_constraints(&self) -> impl Iterator<Item = &Constraints> {
         self.first_by_constraints.keys()
     }
 
-    /// The next first session of a title with these constraints, behind a turn.
+    /// Returns the next first session of a title with these constraints, after a position.
     pub(crate) fn next_first(
         &self,
         constraints: &Constraints,
@@ -184,7 +189,7 @@
     }
 }
 
-/// Removes a turn from a set, and the set with its last one.
+/// Removes a position from a set, and the set itself when it is empty.
 fn remove_from<K: Ord>(sets: &mut BTreeMap<K, BTreeSet<QueuePosition>>, key: &K, position: QueuePosition) {
     if let Some(set) = sets.get_mut(key) {
         set.remove(&position);
