--- a/src/bin/amberspindle-wirehost.rs
+++ b/src/bin/amberspindle-wirehost.rs
@@ -1,4 +1,4 @@
-//! Hosts instances of the decision module on the line protocol. It decides nothing.
+//! Hosts instances of the decision module on the line protocol. No decisions are made here.
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
@@ -9,7 +9,7 @@
 use amberspindle::brain::Brain;
 use amberspindle::wire::{self, Incoming, Instance, Reader};
 
-/// Hands one event to its instance; the text of a panic is the error.
+/// Passes one message to its instance; returns the text of a panic as the error.
 fn deliver(
     brains: &mut BTreeMap<Instance, Brain>,
     instance: Instance,
@@ -47,7 +47,7 @@
 }
 
 fn main() -> ExitCode {
-    // The report goes over the wire; the standard hook would print it a second time.
+    // A panic is reported over the wire; the standard hook would print it a second time.
     std::panic::set_hook(Box::new(|_| {}));
     let mut reader = Reader::new(io::stdin().lock());
     let mut stdout = io::stdout().lock();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
-//! A playback broker: it sets viewers' sessions up at streaming servers.
+//! A playback broker: it sets up viewers' sessions at streaming servers.
 //!
-//! Every decision is made in [`brain`]: it takes [`api::Event`]s and gives [`api::Action`]s. Round it stands
-//! [`broker`], the core, which keeps the rules and knows no wire; before that the fronts [`platform`] and
-//! [`whip`], joined by [`node`]. Only [`net`] has sockets. [`wire`] translates the simulator's line protocol.
+//! [`brain`] makes every decision: it takes [`api::Event`]s and returns [`api::Action`]s. [`broker`], the core,
+//! enforces the rules around it and is independent of protocols. The front ends [`platform`] and [`whip`] speak the
+//! protocols, and [`node`] joins them with the core. Only [`net`] opens sockets. [`wire`] translates the simulator's
+//! line protocol.
 //!
 //! ```
 //! use amberspindle::api::{Action, Event, ListKind, Micros, Request, ServerEntry, ServerState, Settings};
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,4 @@
-//! The line protocol: parses batches of events and prints actions. It decides nothing.
+//! The simulator's line protocol: parses batches of events and prints actions. No decisions are made here.
 
 mod actions;
 mod conf;
@@ -18,12 +18,12 @@
 use fields::Fields;
 pub use settings::settings;
 
-/// Input that does not follow the protocol.
+/// Input that violates the protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WireError {
-    /// Number of the line, from 1.
+    /// The number of the line, from 1.
     pub line: u64,
-    /// What should have stood there.
+    /// What was expected there.
     pub expected: String,
 }
 
@@ -35,35 +35,35 @@
 
 impl std::error::Error for WireError {}
 
-/// An instance's number on the wire.
+/// The number of an instance on the wire.
 pub type Instance = u64;
 
-/// What comes for one instance.
+/// A message for one instance.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Incoming {
-    /// It starts without knowledge.
+    /// The instance starts without any state.
     Attach {
-        /// Seed of its random numbers.
+        /// The seed of its random numbers.
         seed: u64,
-        /// Its settings, or what is wrong with them.
+        /// Its settings, or the reason why they are invalid.
         settings: Box<Result<Settings, String>>,
     },
-    /// It has ended.
+    /// The instance has ended.
     Retire,
-    /// An event for its module.
+    /// An event for its decision module.
     Event(Event),
 }
 
-/// Events that come at one time.
+/// Events that arrive at the same time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
     /// The time.
     pub now: Micros,
-    /// The events in their order.
+    /// The events in order.
     pub events: Vec<(Instance, Incoming)>,
 }
 
-/// Reads batches; keeps the numbered lists of servers.
+/// Reads batches, and keeps the numbered server lists.
 pub struct Reader<R> {
     input: R,
     line: u64,
@@ -73,7 +73,7 @@
 type Parsed<T> = Result<T, WireError>;
 
 impl<R: BufRead> Reader<R> {
-    /// Reads from `input`.
+    /// Creates a reader of `input`.
     pub fn new(input: R) -> Reader<R> {
         Reader { input, line: 0, server_lists: BTreeMap::new() }
     }
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The next batch, or none at the end of input.
+    /// Reads the next batch; returns `None` at the end of input.
     pub fn batch(&mut self) -> Parsed<Option<Batch>> {
         let text = loop {
             match self.next_line()? {
--- a/src/wire/actions.rs
+++ b/src/wire/actions.rs
@@ -1,4 +1,4 @@
-//! Actions as lines.
+//! Prints actions as lines.
 
 use std::fmt::Write as _;
 
@@ -51,12 +51,12 @@
     };
 }
 
-/// Appends the report that an instance's module has failed.
+/// Appends a line that reports the failure of an instance's module.
 pub fn print_failure(instance: Instance, text: &str, out: &mut String) {
     let _ = writeln!(out, "INTERNAL_ERROR Who={instance} What={}", one_line(text));
 }
 
-/// Ends a reply.
+/// Appends the end of a reply.
 pub fn print_end(out: &mut String) {
     out.push_str("READY\n");
 }
--- a/src/wire/conf.rs
+++ b/src/wire/conf.rs
@@ -1,25 +1,28 @@
-//! Settings as JSON, read key by key.
+//! Reads JSON settings key by key, with errors that name the path.
 
 use serde_json::Value;
 
 use crate::api::Micros;
 
-/// A part of the settings, with its path for messages.
+/// A value within the settings, with its path for error messages.
 pub(super) struct JsonNode<'a> {
     pub(super) value: &'a Value,
     pub(super) path: String,
 }
 
 impl<'a> JsonNode<'a> {
+    /// Returns an error that names the path of this value.
     pub(super) fn error<T>(&self, problem: &str) -> Result<T, String> {
         Err(format!("{}: {problem}", self.path))
     }
 
+    /// Returns the value of a key, unless it is absent or null.
     pub(super) fn optional(&self, key: &str) -> Option<JsonNode<'a>> {
         let path = if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) };
         self.value.get(key).filter(|v| !v.is_null()).map(|value| JsonNode { value, path })
     }
 
+    /// Returns the value of a key that must be present.
     pub(super) fn required(&self, key: &str) -> Result<JsonNode<'a>, String> {
         let dot = if self.path.is_empty() { "" } else { "." };
         self.optional(key).ok_or_else(|| format!("{}{dot}{key}: required", self.path))
--- a/src/wire/fields.rs
+++ b/src/wire/fields.rs
@@ -1,17 +1,17 @@
-//! The parts of one line of events.
+//! Parses the fields of one line of events.
 
 use std::collections::BTreeMap;
 
 use super::*;
 
-/// The parts of one line.
+/// The fields of one line, by name.
 pub(super) struct Fields<'a> {
     pub(super) line: u64,
     pub(super) values: BTreeMap<&'a str, &'a str>,
 }
 
 impl<'a> Fields<'a> {
-    /// Splits a line into its word and fields; `Conf` runs to the end of the line.
+    /// Splits a line into its keyword and fields; `Conf` extends to the end of the line.
     pub(super) fn split(text: &'a str, line: u64) -> Parsed<(&'a str, Fields<'a>)> {
         let (keyword, mut remaining) = text.split_once(' ').unwrap_or((text, ""));
         let mut values = BTreeMap::new();
@@ -28,6 +28,7 @@
         Ok((keyword, Fields { line, values }))
     }
 
+    /// Returns an error for this line.
     pub(super) fn error<T>(&self, expected: String) -> Parsed<T> {
         Err(WireError { line: self.line, expected })
     }
--- a/src/wire/settings.rs
+++ b/src/wire/settings.rs
@@ -1,11 +1,11 @@
-//! An instance's settings.
+//! Reads an instance's settings.
 
 use serde_json::Value;
 
 use super::conf::JsonNode;
 use crate::api::*;
 
-/// Reads an instance's settings; the error names the key that cannot work.
+/// Reads an instance's settings; the error names the invalid key.
 pub fn settings(json: &Value) -> Result<Settings, String> {
     let root = JsonNode { value: json, path: String::new() };
     if !json.is_object() {
