--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,6 +1,7 @@
-//! The decision module's actions over seeded days, as a plain list of held sessions gave them that each request and each
-//! look walked from end to end (run on the sources that had it). A digest changes with any action, its figures and its
-//! place: a change of policy sets them anew, one of bookkeeping must not.
+//! Compares the decision module's actions under seeded workloads with recorded digests. The digests come from
+//! an earlier implementation, which kept held sessions in a plain list and walked it on every request and
+//! every check. A digest depends on every action, its values and its position: a change of policy records new
+//! ones, a change of bookkeeping must not alter them.
 
 mod common;
 
@@ -12,24 +13,25 @@
 const KEYED: usize = 3;
 const SEATED: usize = 4;
 
-/// What one day makes hard.
+/// The load of one workload.
 #[derive(Clone, Copy, Debug)]
 struct Workload {
     seed: u64,
-    /// Links' size in kB/s.
+    /// The rate of links, in kB per second.
     link_kb: f64,
-    /// Milliseconds that a class wants a set-up within, and that its viewers wait.
+    /// The objective and the deadline of set-ups, in milliseconds.
     slo_ms: u64,
     deadline_ms: u64,
     titles: u64,
-    /// In a hundred attempts, those that are turned away; as many fail in other ways.
+    /// The percentage of attempts that servers reject; as many fail in other ways.
     rejected_percent: u32,
 }
 
 const BASE_WORKLOAD: Workload =
     Workload { seed: 1, link_kb: 8000.0, slo_ms: 1000, deadline_ms: 4000, titles: 12, rejected_percent: 5 };
 
-/// Each day and the digest, the set-ups sent and the final answers that the plain list gave.
+/// Each workload with the digest, the number of set-ups sent and the number of final answers of the earlier
+/// implementation.
 const WORKLOADS: [(Workload, (u64, usize, usize)); 8] = [
     (BASE_WORKLOAD, (57658542262104136, 282, 235)),
     (Workload { seed: 2, link_kb: 1500.0, ..BASE_WORKLOAD }, (16652373621012563433, 277, 186)),
@@ -101,14 +103,15 @@
     entry
 }
 
-/// An attempt that is out, or a session that plays.
+/// An open attempt or a playing session.
 struct OpenAttempt {
     id: u64,
     server: ServerId,
     is_playing: bool,
 }
 
-/// Plays a day; gives a digest of its actions, the set-ups sent and the final answers.
+/// Runs a workload; returns a digest of its actions, the number of set-ups sent and the number of final
+/// answers.
 fn run_workload(workload: Workload) -> (u64, usize, usize) {
     let mut rng = fastrand::Rng::with_seed(workload.seed);
     let mut module = ModuleHarness::bare(workload_settings(workload), workload.seed);
@@ -211,7 +214,7 @@
     module.tell(Event::Settings(Box::new(s)));
 }
 
-/// FNV-1a over the actions as they print.
+/// Returns the FNV-1a hash of the actions' debug output.
 fn digest(actions: &[Action]) -> u64 {
     let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     let bytes = actions.iter().flat_map(|action| format!("{action:?}\n").into_bytes());
--- a/tests/held.rs
+++ b/tests/held.rs
@@ -1,4 +1,4 @@
-//! What a request costs while others are held, counted in searches for a server.
+//! The cost of a request while others are held, counted in searches for a server.
 
 mod common;
 
@@ -15,7 +15,7 @@
     NoSeat,
 }
 
-/// Long deadlines, and one class with a seat a title.
+/// Returns settings with long deadlines and one class with one seat per title.
 fn long_deadline_settings() -> Settings {
     let mut s = settings();
     let mut seated = Class::new(ms(600_000), ms(600_000), Idempotency::Safe);
@@ -35,7 +35,7 @@
     module.tell(Event::Request(request))
 }
 
-/// A front with so many sessions held; cells 4 and 5 have room.
+/// Returns a module with `count` held sessions; cells 4 and 5 have room.
 fn module_with_held(reason: HoldReason, titles: u64, count: u64) -> ModuleHarness {
     let mut module = ModuleHarness::new(long_deadline_settings(), 6);
     let class = if reason == HoldReason::NoSeat { SEATED } else { CLIP };
@@ -58,7 +58,7 @@
     module
 }
 
-/// Searches that one request made which is held too, and one that is sent at once.
+/// Returns the searches for a request that is held too, and for one that is sent at once.
 fn searches_of_requests(reason: HoldReason, titles: u64, count: u64) -> [u64; 2] {
     let mut module = module_with_held(reason, titles, count);
     let before = module.brain.search_count();
@@ -92,12 +92,14 @@
     assert!(module.brain.search_count() - before <= 10);
 }
 
-/// Of many that could find room by their constraints, but do not, a request tries a bounded number; the newcomer
-/// waits for the look then, and does not overtake them.
+/// Guards against a request that tries all of many held sessions which could find room by their constraints
+/// but do not. It tries a bounded number; the new request then waits for the periodic check and does not
+/// overtake them.
 #[test]
 fn request_makes_bounded_number_of_failed_searches() {
     let mut settings = long_deadline_settings();
-    // A stream that runs at a server between its limits for streams and for newcomers draws its title there.
+    // A server whose utilization lies between the limits for streams and for new sessions attracts further
+    // viewers of the streams that run there.
     settings.classes[LIVE].floor = Rung(3);
     (settings.link_unit_kb, settings.rack_kb) = (1e9, 1e11);
     let mut module = ModuleHarness::new(settings, 1);
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -1,34 +1,34 @@
-//! Slow start over all processes: what a server that has just started gets from all of them together. The checker
-//! counts at the server, by the weight of what arrives, and knows nothing of turns.
+//! Slow start over all processes: the total of set-ups that a server gets after its start. The checker counts
+//! at the server, by the weight of what arrives, and knows nothing of warm-up turns.
 
 mod common;
 
 use amberspindle::api::*;
 use common::*;
 
-/// How one run draws its traffic and its processes.
+/// The traffic and the processes of one run.
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     processes: u32,
     places: u32,
     seed: u64,
-    /// Requests at a time.
+    /// The number of requests in one round of a process.
     requests_per_round: u64,
-    /// A process that is told to end takes no turn any more.
+    /// Whether a process that shuts down takes no more warm-up turns.
     stops_turns_on_shutdown: bool,
 }
 
 /// What arrived, and what the settings allow.
 struct Arrivals {
-    /// When, in microseconds since the start of the server, and how heavy beside the mean.
+    /// Arrival times in microseconds since the start of the server, and weights relative to the mean.
     arrived: Vec<(u64, f64)>,
-    /// Calls that the settings allow within the rule's time at the start.
+    /// The number of set-ups that the settings allow within one window at the start.
     budget: f64,
     window_us: u64,
 }
 
 impl Arrivals {
-    /// The most that arrived within the rule's time.
+    /// Returns the greatest weight that arrived within one window.
     fn max_in_window(&self) -> f64 {
         let weight_from = |(at, _): &(u64, f64)| {
             let within = self.arrived.iter().filter(|(t, _)| (*at..*at + self.window_us).contains(t));
@@ -37,19 +37,19 @@
         self.arrived.iter().map(weight_from).fold(0.0, f64::max)
     }
 
-    /// The operators' bound: N and twice its root and two.
+    /// The operators' bound: N + 2·√N + 2 for a budget of N.
     fn bound(&self) -> f64 {
         self.budget + 2.0 * self.budget.sqrt() + 2.0
     }
 
-    /// What arrived over what the pace of the start allows in the time that was played.
+    /// Returns the number of arrivals relative to the number that the warm-up pace allows in this time.
     fn share_of_pace(&self, duration_us: u64) -> f64 {
         self.arrived.len() as f64 / (self.budget * duration_us as f64 / self.window_us as f64)
     }
 }
 
-/// Plays the cold time of one server, which all processes hear of at different moments, while some are restarted with
-/// the same number and all have more to send than they may.
+/// Simulates the warm-up of one server. The processes learn of its start at different times, some are
+/// restarted with the same index, and all have more requests than they may send.
 fn simulate(scenario: Scenario) -> Arrivals {
     let mut rng = fastrand::Rng::with_seed(scenario.seed);
     let mut s = settings();
@@ -63,7 +63,8 @@
         module.now = at;
         module
     };
-    // (front, number, when it hears of the start, when it is told to end, when it is gone, traffic)
+    // A process with its index; the rounds in which it learns of the start, begins its shutdown and stops;
+    // and the number of rounds between its requests.
     struct Process {
         module: ModuleHarness,
         broker_index: u32,
@@ -74,7 +75,7 @@
     }
     let mut processes = Vec::new();
     for broker_index in 0..scenario.processes {
-        // Some see several times the mean.
+        // Some processes see several times the mean traffic.
         let request_interval = if rng.u32(0..5) == 0 { 1 } else { rng.u64(2..8) };
         let module = new_process(broker_index, rng.u64(..), started, &s);
         let shutdown_in = if rng.bool() { rng.u64(5..80) } else { u64::MAX };
@@ -98,7 +99,7 @@
                 if scenario.stops_turns_on_shutdown {
                     p.module.tell(Event::WarmUpTurnsFrom(Micros::MAX));
                 }
-                // Requests on open connections come for a while, and those that wait have their time.
+                // Requests on open connections arrive for a while, and held ones have their deadlines.
                 p.stopped_in = round + 20;
                 let module = new_process(p.broker_index, rng.u64(..), now, &s);
                 let (listed_in, shutdown_in, stopped_in) = (round, u64::MAX, u64::MAX);
@@ -124,11 +125,11 @@
             let round_start = p.module.now;
             out.extend(p.module.pass(ms(100)));
             for (id, _) in sends(&out) {
-                // Connections take their time to come up; sessions differ in weight.
+                // Connections take time to be established; sessions differ in weight.
                 let at = (round_start - started).0 + rng.u64(0..400_000);
                 let weight = [0.4, 0.7, 1.0, 1.3, 1.6][rng.usize(0..5)];
                 arrived.push((at, weight));
-                // The server is slow, then full of it: it starts it, and it is over.
+                // Each session starts and ends at once, so that the server never fills up.
                 let took = ms(50);
                 p.module.tell(Event::SetUpDone { id, attempt: 0, server: server(0), took });
                 p.module.tell(Event::Outcome {
@@ -196,8 +197,8 @@
     assert_pace_kept_and_used(300, 1, 0.2);
 }
 
-/// The checker finds what it is for: a process that is told to end and goes on with its turns, which are those of the
-/// one that takes its number.
+/// Verifies the checker: it must detect a process that shuts down but keeps taking its turns, which belong to
+/// the process that takes over its index.
 #[test]
 fn finds_overload_when_two_processes_use_one_broker_index() {
     let overloaded_runs = |stops_turns_on_shutdown| {
--- a/tests/uplinks.rs
+++ b/tests/uplinks.rs
@@ -1,25 +1,27 @@
-//! Uplinks of racks that no report tells of: what a front makes of servers that deliver short though their links have room.
+//! Uplinks of racks without reports: how a module handles servers that deliver less than requested although
+//! their links have room.
 
 mod common;
 
 use amberspindle::api::*;
 use common::*;
 
-/// Sessions of the front, all at servers of one rack.
+/// The number of sessions, all at servers of one rack.
 const SESSION_COUNT: u64 = 9;
 
-/// A front whose rack's uplink is told by nobody, with sessions that play there; where the first of them plays.
+/// Returns a module with playing sessions in a rack whose uplink is not reported, and the server of each
+/// session.
 fn module_with_playing_sessions() -> (ModuleHarness, Vec<(u64, ServerId)>) {
     let mut settings = settings();
     (settings.uplink_reported, settings.racks, settings.rack_kb) = (false, 1, 24_000.0);
     let mut module = ModuleHarness::new(settings, 6);
     let placed = (1..=SESSION_COUNT).map(|id| (id, module.play(id, CLIP, &format!("title-{id}")))).collect();
-    // The least time between two changes of a rung passes.
+    // The minimum time between two rung changes passes.
     module.pass(ms(11_000));
     (module, placed)
 }
 
-/// One second in which all servers tell that they deliver only a share of what is asked.
+/// Reports for one second that all servers deliver only a share of the requested rate.
 fn report_shortfall_for_one_second(
     module: &mut ModuleHarness,
     placed: &[(u64, ServerId)],
@@ -51,7 +53,7 @@
     }
     assert!(!cut.is_empty(), "no session is cut in a rack that delivers 70%");
     module.pass(ms(10_000));
-    // The links have room, as before: it is the uplink that has none.
+    // The links have room as before; the uplink has none.
     for _ in 0..4 {
         report_shortfall_for_one_second(&mut module, &placed, 0.9);
     }
@@ -98,7 +100,7 @@
     report_links(&mut module, &placed, 0.3);
     let mut changed = Vec::new();
     for _ in 0..10 {
-        // Its link has room by a fresh note each time.
+        // A recent note shows each time that its link has room.
         module.note(first, &server, Note::Link(0.3));
         changed.extend(rates(&module.note(first, &server, Note::Delivered(0.6))));
         module.pass(ms(1000));
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The line protocol: parsing, printing, and the adapter's manners.
+//! The line protocol: parsing, printing, and how the host program behaves.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
