--- a/src/module/waiting.rs
+++ b/src/module/waiting.rs
@@ -1,139 +1,148 @@
-//! Queue of the held sessions, indexed by title and by what decides where a session may go. Bookkeeping only.
+//! The queue of held sessions, indexed by title and by what determines where a session may go. Bookkeeping
+//! only, no decisions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
 use super::api::{SessionId, Text};
 
-/// What decides, together with the state of servers, whether a held session can find one.
+/// What determines, together with the state of servers, whether a held session can find one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Constraints {
-    /// Index of its class.
+    /// The index of its class.
     pub(crate) class: usize,
-    /// First cell that holds its title.
+    /// The first cell that holds its title.
     pub(crate) home: u32,
-    /// So many cells in a row hold it.
+    /// The number of consecutive cells that hold it.
     pub(crate) copies: u32,
     /// Its lowest rung.
-    pub(crate) lowest: usize,
-    /// It was sent before.
-    pub(crate) retry: bool,
-    /// The server whose group it must stay in, as an attempt may have run there.
-    pub(crate) ran: Option<usize>,
-    /// The time in which that group recognises a repeat is over.
-    pub(crate) expired: bool,
+    pub(crate) min_rung: usize,
+    /// Whether it was sent before.
+    pub(crate) is_retry: bool,
+    /// The server where an attempt may have run; the session must stay in the group that recognises a repeat.
+    pub(crate) possible_run_server: Option<usize>,
+    /// Whether the time is over in which that group recognises a repeat.
+    pub(crate) is_key_window_over: bool,
 }
 
-/// What held sessions with the same constraints find at best.
+/// The best that held sessions with the same constraints can find.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Outlook {
-    /// A server that takes those whose patience has ended.
-    pub(crate) any: bool,
-    /// One that may show room to those that were never sent.
-    pub(crate) room: bool,
+pub(crate) struct Availability {
+    /// Whether any server accepts sessions that have waited long enough.
+    pub(crate) has_server: bool,
+    /// Whether any server may have room for sessions that were never sent.
+    pub(crate) has_room: bool,
 }
 
-pub(crate) type Outlooks = BTreeMap<Constraints, Outlook>;
+/// What was found for each set of constraints; valid until a session is sent.
+pub(crate) type AvailabilityByConstraints = BTreeMap<Constraints, Availability>;
 
-/// A place in the queue; the lower goes first.
+/// A position in the queue; the lowest is first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Turn(i64);
+pub(crate) struct QueuePosition(i64);
 
 #[derive(Debug)]
 struct Entry {
-    turn: Turn,
+    position: QueuePosition,
     title: Text,
     constraints: Constraints,
 }
 
-/// Held sessions: those that were sent before, the latest first, then the others in the order of their arrival.
+/// Held sessions: those that were sent before, the latest first, then the others in order of arrival.
 #[derive(Debug, Default)]
-pub(crate) struct Waiting {
-    queue: BTreeMap<Turn, SessionId>,
+pub(crate) struct HeldQueue {
+    queue: BTreeMap<QueuePosition, SessionId>,
     entries: BTreeMap<SessionId, Entry>,
-    titles: BTreeMap<Text, BTreeSet<Turn>>,
-    /// The first session of each title that is not blocked.
-    heads: BTreeMap<Constraints, BTreeSet<Turn>>,
+    titles: BTreeMap<Text, BTreeSet<QueuePosition>>,
+    /// The first session of each title, unless the title is blocked.
+    first_by_constraints: BTreeMap<Constraints, BTreeSet<QueuePosition>>,
     /// Classes and titles without a free seat.
     blocked: BTreeSet<(usize, Text)>,
 }
 
-impl Waiting {
-    /// Takes a session in behind all others.
+impl HeldQueue {
+    /// Adds a session behind all others.
     pub(crate) fn push_back(&mut self, id: SessionId, title: Text, constraints: Constraints) {
-        let turn = self.queue.last_key_value().map_or(0, |(last, _)| last.0 + 1);
-        self.insert(id, Entry { turn: Turn(turn), title, constraints });
+        let position = self.queue.last_key_value().map_or(0, |(last, _)| last.0 + 1);
+        self.insert(id, Entry { position: QueuePosition(position), title, constraints });
     }
 
-    /// Takes a session in before all others.
+    /// Adds a session before all others.
     pub(crate) fn push_front(&mut self, id: SessionId, title: Text, constraints: Constraints) {
-        let turn = self.queue.first_key_value().map_or(0, |(first, _)| first.0 - 1);
-        self.insert(id, Entry { turn: Turn(turn), title, constraints });
+        let position = self.queue.first_key_value().map_or(0, |(first, _)| first.0 - 1);
+        self.insert(id, Entry { position: QueuePosition(position), title, constraints });
     }
 
     fn insert(&mut self, id: SessionId, entry: Entry) {
         self.remove(id);
         let title = entry.title.clone();
-        self.unfile_head(&title);
-        self.queue.insert(entry.turn, id);
-        self.titles.entry(title.clone()).or_default().insert(entry.turn);
+        self.unindex_first(&title);
+        self.queue.insert(entry.position, id);
+        self.titles.entry(title.clone()).or_default().insert(entry.position);
         self.entries.insert(id, entry);
-        self.file_head(&title);
+        self.index_first(&title);
     }
 
-    /// Takes a session out, if it is held.
+    /// Removes a session, if it is held.
     pub(crate) fn remove(&mut self, id: SessionId) {
         let Some(title) = self.entries.get(&id).map(|entry| entry.title.clone()) else { return };
-        self.unfile_head(&title);
+        self.unindex_first(&title);
         if let Some(entry) = self.entries.remove(&id) {
-            self.queue.remove(&entry.turn);
-            remove_from(&mut self.titles, &title, entry.turn);
+            self.queue.remove(&entry.position);
+            remove_from(&mut self.titles, &title, entry.position);
         }
-        self.file_head(&title);
+        self.index_first(&title);
     }
 
-    /// Notes that a session's constraints are others now.
-    pub(crate) fn refile(&mut self, id: SessionId, constraints: Constraints) {
+    /// Updates the constraints of a session.
+    pub(crate) fn update_constraints(&mut self, id: SessionId, constraints: Constraints) {
         let Some(entry) = self.entries.get(&id).filter(|entry| entry.constraints != constraints) else {
             return;
         };
         let title = entry.title.clone();
-        self.unfile_head(&title);
+        self.unindex_first(&title);
         self.entries.entry(id).and_modify(|entry| entry.constraints = constraints);
-        self.file_head(&title);
+        self.index_first(&title);
     }
 
-    /// Notes whether sessions of a class and title have a free seat.
-    pub(crate) fn block(&mut self, class: usize, title: &Text, blocked: bool) {
+    /// Sets whether sessions of a class and title lack a free seat.
+    pub(crate) fn set_blocked(&mut self, class: usize, title: &Text, blocked: bool) {
         if self.blocked.contains(&(class, title.clone())) == blocked {
             return;
         }
-        self.unfile_head(title);
+        self.unindex_first(title);
         if blocked {
             self.blocked.insert((class, title.clone()));
         } else {
             self.blocked.remove(&(class, title.clone()));
         }
-        self.file_head(title);
+        self.index_first(title);
     }
 
-    fn head(&self, title: &Text) -> Option<&Entry> {
-        let turn = self.first_turn(title)?;
-        self.entries.get(self.queue.get(&turn)?)
+    /// Returns the first held session of a title.
+    fn first_of_title(&self, title: &Text) -> Option<&Entry> {
+        let position = self.first_position(title)?;
+        self.entries.get(self.queue.get(&position)?)
     }
 
-    fn file_head(&mut self, title: &Text) {
-        let Some((turn, constraints)) = self.head(title).map(|head| (head.turn, head.constraints)) else {
+    /// Adds the first session of a title to the index by constraints, unless the title is blocked.
+    fn index_first(&mut self, title: &Text) {
+        let Some((position, constraints)) =
+            self.first_of_title(title).map(|first| (first.position, first.constraints))
+        else {
             return;
         };
         if !self.blocked.contains(&(constraints.class, title.clone())) {
-            self.heads.entry(constraints).or_default().insert(turn);
+            self.first_by_constraints.entry(constraints).or_default().insert(position);
         }
     }
 
-    fn unfile_head(&mut self, title: &Text) {
-        if let Some((turn, constraints)) = self.head(title).map(|head| (head.turn, head.constraints)) {
-            remove_from(&mut self.heads, &constraints, turn);
+    /// Removes the first session of a title from the index by constraints.
+    fn unindex_first(&mut self, title: &Text) {
+        if let Some((position, constraints)) =
+            self.first_of_title(title).map(|first| (first.position, first.constraints))
+        {
+            remove_from(&mut self.first_by_constraints, &constraints, position);
         }
     }
 
@@ -142,44 +151,48 @@
         self.entries.contains_key(&id)
     }
 
-    /// Number of held sessions.
+    /// Returns the number of held sessions.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Held sessions in their order.
+    /// Returns the held sessions in order.
     pub(crate) fn ids(&self) -> Vec<SessionId> {
         self.queue.values().copied().collect()
     }
 
-    /// Held sessions of a title in their order.
+    /// Returns the held sessions of a title in order.
     pub(crate) fn of_title(&self, title: &Text) -> Vec<SessionId> {
-        let turns = self.titles.get(title).into_iter().flatten();
-        turns.filter_map(|turn| self.queue.get(turn).copied()).collect()
+        let positions = self.titles.get(title).into_iter().flatten();
+        positions.filter_map(|position| self.queue.get(position).copied()).collect()
     }
 
-    /// The turn of the first held session of a title.
-    pub(crate) fn first_turn(&self, title: &Text) -> Option<Turn> {
+    /// Returns the position of the first held session of a title.
+    pub(crate) fn first_position(&self, title: &Text) -> Option<QueuePosition> {
         self.titles.get(title)?.first().copied()
     }
 
-    /// Constraints of the titles' first sessions, each once.
-    pub(crate) fn head_constraints(&self) -> impl Iterator<Item = &Constraints> {
-        self.heads.keys()
+    /// Returns the constraints of the titles' first sessions, each once.
+    pub(crate) fn first_constraints(&self) -> impl Iterator<Item = &Constraints> {
+        self.first_by_constraints.keys()
     }
 
-    /// The next first session of a title with these constraints, behind a turn.
-    pub(crate) fn next_head(&self, of: &Constraints, behind: Option<Turn>) -> Option<(Turn, SessionId)> {
-        let from = behind.map_or(Bound::Unbounded, Bound::Excluded);
-        let turn = *self.heads.get(of)?.range((from, Bound::Unbounded)).next()?;
-        Some((turn, *self.queue.get(&turn)?))
+    /// Returns the next first session of a title with these constraints, after a position.
+    pub(crate) fn next_first(
+        &self,
+        constraints: &Constraints,
+        after: Option<QueuePosition>,
+    ) -> Option<(QueuePosition, SessionId)> {
+        let from = after.map_or(Bound::Unbounded, Bound::Excluded);
+        let position = *self.first_by_constraints.get(constraints)?.range((from, Bound::Unbounded)).next()?;
+        Some((position, *self.queue.get(&position)?))
     }
 }
 
-/// Removes a turn from a set, and the set with its last one.
-fn remove_from<K: Ord>(sets: &mut BTreeMap<K, BTreeSet<Turn>>, key: &K, turn: Turn) {
+/// Removes a position from a set, and the set itself when it is empty.
+fn remove_from<K: Ord>(sets: &mut BTreeMap<K, BTreeSet<QueuePosition>>, key: &K, position: QueuePosition) {
     if let Some(set) = sets.get_mut(key) {
-        set.remove(&turn);
+        set.remove(&position);
         if set.is_empty() {
             sets.remove(key);
         }
--- a/src/platform/viewer.rs
+++ b/src/platform/viewer.rs
@@ -87,7 +87,7 @@
             "copies" => copies = Some(below(settings.cells.saturating_add(1)).filter(|n| *n > 0)?),
             "top" => request.top = Rung(below(settings.rung_kb.len() as u32)? as usize),
             "viewer" => request.viewer = Text::from(value),
-            "again" => request.again = value != "0",
+            "again" => request.is_returning = value != "0",
             "moved" | "midflow" => request.moved = value != "0",
             "at" => at = Some(ServerId::new(value)),
             // Unknown figures are skipped like unknown fields.
@@ -95,7 +95,7 @@
         }
     }
     request.retry = field("retry").is_some_and(|r| r != "0");
-    request.hint = field("hint").and_then(number).filter(|h| *h > 0.0);
+    request.duration_hint_s = field("hint").and_then(number).filter(|h| *h > 0.0);
     if let Some(server) = at {
         request.copies = copies.unwrap_or(0);
         return Some(ViewerMessage::Playing(request, server));
