--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -9,107 +9,116 @@
 use futures_lite::future;
 use tracing::warn;
 
-use super::conns::serve;
+use super::conns::serve_client;
 use super::handover::Handover;
-use super::outbox::Bell;
-use super::reading::code;
-use super::room::until_room;
-use super::{Handle, micros, step};
+use super::outbox::Notify;
+use super::reading::error_code;
+use super::room::wait_for_room;
+use super::{Handle, step, to_duration};
 use crate::node::Protocol;
 
 /// Time before the next try after a connection could not be accepted: descriptors may be free again by then.
-const AGAIN: Duration = Duration::from_millis(20);
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// One listening socket.
-pub(super) struct Door {
+pub(super) struct ClientListener {
     pub(super) listener: Async<TcpListener>,
-    pub(super) front: Protocol,
+    pub(super) protocol: Protocol,
     /// Whether this process serves, where another may hold the socket too.
-    pub(super) gate: Option<Rc<Handover>>,
+    pub(super) handover: Option<Rc<Handover>>,
     /// Rings when the socket is to go.
-    pub(super) last_call: Rc<Bell>,
+    pub(super) stop: Rc<Notify>,
     /// The socket outlives this process.
-    pub(super) kept: bool,
+    pub(super) outlives_process: bool,
 }
 
-enum Next {
+enum AcceptEvent {
     Accepted(io::Result<(Async<TcpStream>, SocketAddr)>),
     GateClosed,
-    LastCall,
+    Stopped,
 }
 
-fn take(shared: &Handle, stream: Async<TcpStream>, peer: SocketAddr, front: Protocol) {
-    shared.accepted.set(shared.accepted.get() + 1);
-    shared.executor.spawn(serve(shared.clone(), stream, peer, front)).detach();
+fn serve_accepted(shared: &Handle, stream: Async<TcpStream>, peer: SocketAddr, protocol: Protocol) {
+    shared.client_count.set(shared.client_count.get() + 1);
+    shared.executor.spawn(serve_client(shared.clone(), stream, peer, protocol)).detach();
 }
 
 /// Accepts clients' connections until the last call.
-pub(super) async fn accept(shared: Handle, door: Door) {
+pub(super) async fn accept_clients(shared: Handle, client_listener: ClientListener) {
     loop {
-        match next(&shared, &door).await {
-            Next::Accepted(Ok((stream, peer))) => {
-                take(&shared, stream, peer, door.front);
+        match next_event(&shared, &client_listener).await {
+            AcceptEvent::Accepted(Ok((stream, peer))) => {
+                serve_accepted(&shared, stream, peer, client_listener.protocol);
                 // Those that are there already have their turn before the next one comes.
                 future::yield_now().await;
             }
-            Next::Accepted(Err(error)) => {
-                warn!(event = "accept failed", reason = code(&error));
+            AcceptEvent::Accepted(Err(error)) => {
+                warn!(event = "accept failed", reason = error_code(&error));
                 // Descriptors may be short for others' sake: a client's idle connection makes room.
                 step(&shared, |node, now, out| node.make_room(now, out));
-                Timer::after(AGAIN).await;
+                Timer::after(RETRY_INTERVAL).await;
             }
-            Next::GateClosed => {}
-            Next::LastCall => break,
+            AcceptEvent::GateClosed => {}
+            AcceptEvent::Stopped => break,
         }
     }
-    if !door.kept {
-        let late = async {
-            Timer::after(micros(shared.timings.get().longest_deadline)).await;
+    if !client_listener.outlives_process {
+        let deadline = async {
+            Timer::after(to_duration(shared.timings.get().longest_deadline)).await;
         };
         // Who has waited for longer than that waits no more.
-        future::or(take_last(&shared, &door), late).await;
+        future::or(accept_backlog(&shared, &client_listener), deadline).await;
     }
 }
 
 /// Accepts what waits in the machine's queue: a connection that the machine accepted was taken, and its client is
 /// answered. Where there is no room for all, those that come first are answered first.
-async fn take_last(shared: &Handle, door: &Door) {
-    let full = || shared.accepted.get() >= shared.budget.clients_at_last(shared.linked.get());
+async fn accept_backlog(shared: &Handle, client_listener: &ClientListener) {
+    let is_full = || {
+        shared.client_count.get()
+            >= shared.budget.max_clients_at_shutdown(shared.server_connection_count.get())
+    };
     loop {
-        let accepted = door.listener.get_ref().accept();
+        let accepted = client_listener.listener.get_ref().accept();
         match accepted.and_then(|(stream, peer)| Ok((Async::new(stream)?, peer))) {
             Ok((stream, peer)) => {
-                until_room(shared, full, &shared.room, |node, now, out| node.make_room(now, out)).await;
-                take(shared, stream, peer, door.front);
+                wait_for_room(shared, is_full, &shared.client_closed, |node, now, out| {
+                    node.make_room(now, out)
+                })
+                .await;
+                serve_accepted(shared, stream, peer, client_listener.protocol);
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
             Err(error) => {
-                warn!(event = "accept failed", reason = code(&error));
+                warn!(event = "accept failed", reason = error_code(&error));
                 step(shared, |node, now, out| node.make_room(now, out));
-                Timer::after(AGAIN).await;
+                Timer::after(RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-async fn next(shared: &Handle, door: &Door) -> Next {
-    let last = async {
-        door.last_call.heard().await;
-        Next::LastCall
+async fn next_event(shared: &Handle, client_listener: &ClientListener) -> AcceptEvent {
+    let stopped = async {
+        client_listener.stop.notified().await;
+        AcceptEvent::Stopped
     };
     let next = async {
         // Descriptors are few: what can't be held waits in the machine's queue, while room is made.
-        let full = || shared.accepted.get() >= shared.budget.clients;
-        until_room(shared, full, &shared.room, |node, now, out| node.make_room(now, out)).await;
-        let Some(gate) = &door.gate else { return Next::Accepted(door.listener.accept().await) };
-        gate.gate.opened().await;
+        let is_full = || shared.client_count.get() >= shared.budget.clients;
+        wait_for_room(shared, is_full, &shared.client_closed, |node, now, out| node.make_room(now, out))
+            .await;
+        let Some(handover) = &client_listener.handover else {
+            return AcceptEvent::Accepted(client_listener.listener.accept().await);
+        };
+        handover.gate.wait_until_open().await;
         // Accepting is one step: what is given up here accepted nothing.
-        let accepted = async { Next::Accepted(door.listener.accept().await) };
+        let accepted = async { AcceptEvent::Accepted(client_listener.listener.accept().await) };
         let closed = async {
-            gate.gate.closed().await;
-            Next::GateClosed
+            handover.gate.wait_until_closed().await;
+            AcceptEvent::GateClosed
         };
         future::or(closed, accepted).await
     };
-    future::or(last, next).await
+    future::or(stopped, next).await
 }
--- a/src/net/budget/tests.rs
+++ b/src/net/budget/tests.rs
@@ -1,27 +1,37 @@
 use super::*;
 
 #[test]
-fn the_parts_stay_within_the_limit_and_none_is_empty() {
-    for all in 23..5000 {
-        let Budget { clients, callers, links } = Budget::share(all);
-        assert!(clients + callers + links + FIXED <= all, "{all}: {clients} {callers} {links}");
-        assert!(clients > 0 && callers > 1 && links > 0, "{all}");
+fn parts_stay_within_the_limit_and_none_is_empty() {
+    for limit in 23..5000 {
+        let DescriptorBudget { clients, console, servers } = DescriptorBudget::divide(limit);
+        assert!(
+            clients + console + servers + RESERVED_DESCRIPTORS <= limit,
+            "{limit}: {clients} {console} {servers}"
+        );
+        assert!(clients > 0 && console > 1 && servers > 0, "{limit}");
     }
     // As the platform has it: clients hold a third of the limit at most.
-    for all in [64, 256, 512, 1024] {
-        assert!(Budget::share(all).clients * 3 >= all, "{all}: {:?}", Budget::share(all));
+    for limit in [64, 256, 512, 1024] {
+        assert!(
+            DescriptorBudget::divide(limit).clients * 3 >= limit,
+            "{limit}: {:?}",
+            DescriptorBudget::divide(limit)
+        );
     }
-    assert_eq!(Budget::share(1024), Budget { clients: 512, callers: 64, links: 432 });
+    assert_eq!(DescriptorBudget::divide(1024), DescriptorBudget { clients: 512, console: 64, servers: 432 });
     // The last clients leave room for what each kind of connection must have.
-    for all in 23..5000 {
-        let budget = Budget::share(all);
-        for linked in 0..=budget.links {
-            let last = budget.clients_at_last(linked);
-            assert!(last >= budget.clients && last + linked + budget.callers + FIXED <= all);
+    for limit in 23..5000 {
+        let budget = DescriptorBudget::divide(limit);
+        for server_connections in 0..=budget.servers {
+            let last = budget.max_clients_at_shutdown(server_connections);
+            assert!(
+                last >= budget.clients
+                    && last + server_connections + budget.console + RESERVED_DESCRIPTORS <= limit
+            );
         }
     }
     // A limit that is far too low is no reason to panic.
-    for all in 0..23 {
-        assert!(Budget::share(all).clients > 0 && Budget::share(all).links > 0);
+    for limit in 0..23 {
+        assert!(DescriptorBudget::divide(limit).clients > 0 && DescriptorBudget::divide(limit).servers > 0);
     }
 }
--- a/src/net/console.rs
+++ b/src/net/console.rs
@@ -11,28 +11,28 @@
 use futures_lite::{AsyncWriteExt, future};
 use tracing::{info, warn};
 
-use super::conns::{STALLED, read_out};
-use super::outbox::Bell;
-use super::reading::{code, within};
-use super::room::ROOM;
-use super::{Handle, micros, step};
+use super::conns::{WRITE_TIMEOUT, discard_input};
+use super::outbox::Notify;
+use super::reading::{error_code, with_timeout};
+use super::room::ROOM_POLL_INTERVAL;
+use super::{Handle, step, to_duration};
 use crate::operate::console::{BadCall, CALL_TIMEOUT, Call, CallerId, Callers, Line};
 
 /// Time between looks for a descriptor that is free again.
-const LOOK: Duration = Duration::from_millis(5);
+const DESCRIPTOR_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Who is connected, each with the bell that ends its wait.
-struct Table {
+struct CallerTable {
     callers: Callers,
-    bells: BTreeMap<CallerId, Rc<Bell>>,
+    evictions: BTreeMap<CallerId, Rc<Notify>>,
 }
 
 /// Reads until a call is whole.
-async fn call(shared: &Handle, stream: &Async<TcpStream>) -> Result<Call, BadCall> {
+async fn read_call(shared: &Handle, stream: &Async<TcpStream>) -> Result<Call, BadCall> {
     let mut line = Line::default();
     loop {
         let read = stream.read_with(|mut s| {
-            let mut buffer = shared.buffer.borrow_mut();
+            let mut buffer = shared.read_buffer.borrow_mut();
             s.read(&mut buffer).map(|n| (n, line.feed(&buffer[..n])))
         });
         match read.await {
@@ -44,26 +44,26 @@
 }
 
 /// Answers one caller.
-async fn caller(
+async fn serve_caller(
     shared: Handle,
-    table: Rc<RefCell<Table>>,
+    table: Rc<RefCell<CallerTable>>,
     stream: Async<TcpStream>,
     id: CallerId,
-    bell: Rc<Bell>,
+    evicted: Rc<Notify>,
 ) {
-    let no_room = async {
-        bell.heard().await;
+    let evicted_call = async {
+        evicted.notified().await;
         Err(BadCall::NoRoom)
     };
-    let too_late = async {
-        Timer::after(micros(CALL_TIMEOUT)).await;
+    let late_call = async {
+        Timer::after(to_duration(CALL_TIMEOUT)).await;
         Err(BadCall::TooLate)
     };
-    let call = future::or(call(&shared, &stream), future::or(no_room, too_late)).await;
+    let call = future::or(read_call(&shared, &stream), future::or(evicted_call, late_call)).await;
     {
         let mut table = table.borrow_mut();
         table.callers.left(id);
-        table.bells.remove(&id);
+        table.evictions.remove(&id);
     }
     let answer = step(&shared, |node, now, _| node.call(now, call));
     match call {
@@ -72,51 +72,51 @@
         Err(reason) => info!(event = "console", reason = %reason),
     }
     let mut writer = &stream;
-    if within(STALLED, writer.write_all(answer.as_bytes())).await.is_err() {
+    if with_timeout(WRITE_TIMEOUT, writer.write_all(answer.as_bytes())).await.is_err() {
         return;
     }
     // Closing a socket with unread input would reset the connection, and the answer with it.
     let _ = stream.get_ref().shutdown(Shutdown::Write);
-    read_out(&shared, &stream).await;
+    discard_input(&shared, &stream).await;
 }
 
 /// Lets callers in as long as the program runs.
-pub(super) async fn console(shared: Handle, listener: Async<TcpListener>) {
-    let table = Rc::new(RefCell::new(Table {
-        callers: Callers::new(shared.budget.callers / 2),
-        bells: BTreeMap::new(),
+pub(super) async fn serve_console(shared: Handle, listener: Async<TcpListener>) {
+    let table = Rc::new(RefCell::new(CallerTable {
+        callers: Callers::new(shared.budget.console / 2),
+        evictions: BTreeMap::new(),
     }));
-    let open = Rc::new(Cell::new(0));
+    let connection_count = Rc::new(Cell::new(0));
     loop {
         // Those that were answered hold their descriptor until they have closed too.
-        while open.get() >= shared.budget.callers {
-            Timer::after(LOOK).await;
+        while connection_count.get() >= shared.budget.console {
+            Timer::after(DESCRIPTOR_POLL_INTERVAL).await;
         }
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                warn!(event = "accept failed", front = "console", reason = code(&error));
-                Timer::after(ROOM).await;
+                warn!(event = "accept failed", front = "console", reason = error_code(&error));
+                Timer::after(ROOM_POLL_INTERVAL).await;
                 continue;
             }
         };
-        let bell = Rc::new(Bell::default());
+        let evicted = Rc::new(Notify::default());
         let id = {
             let mut table = table.borrow_mut();
             let (id, oldest) = table.callers.come();
-            if let Some(bell) = oldest.and_then(|oldest| table.bells.remove(&oldest)) {
-                bell.ring();
+            if let Some(evicted) = oldest.and_then(|oldest| table.evictions.remove(&oldest)) {
+                evicted.notify();
             }
-            table.bells.insert(id, bell.clone());
+            table.evictions.insert(id, evicted.clone());
             id
         };
-        open.set(open.get() + 1);
-        let (shared_too, table, open) = (shared.clone(), table.clone(), open.clone());
-        let answered = async move {
-            caller(shared_too, table, stream, id, bell).await;
-            open.set(open.get() - 1);
+        connection_count.set(connection_count.get() + 1);
+        let (handle, table, connection_count) = (shared.clone(), table.clone(), connection_count.clone());
+        let serve = async move {
+            serve_caller(handle, table, stream, id, evicted).await;
+            connection_count.set(connection_count.get() - 1);
         };
-        shared.executor.spawn(answered).detach();
+        shared.executor.spawn(serve).detach();
         // It may have written already: it has its turn before the next one comes.
         future::yield_now().await;
     }
--- a/src/net/ending.rs
+++ b/src/net/ending.rs
@@ -8,100 +8,100 @@
 use tracing::info;
 
 use super::handover::Handover;
-use super::outbox::Bell;
+use super::outbox::Notify;
 use super::{Handle, step};
 use crate::node::{HeldRequest, Remaining};
 use crate::operate::planned_end::{KillPolicy, RemainingWork, ShutdownPlan, Step};
 
 /// Time between two looks at what is left.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Time between two reports.
-const REPORT_EVERY: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Requests that one report names at most.
-const MOST_NAMED: usize = 8;
+const MAX_REPORTED_REQUESTS: usize = 8;
 
 /// What is to end.
-pub(super) struct Ending {
+pub(super) struct Shutdown {
     /// Clients of the platform are served.
-    pub(super) platform: bool,
+    pub(super) serves_platform: bool,
     /// The processes before and after this one.
     pub(super) handover: Option<Rc<Handover>>,
     /// Tasks that accept connections, and the bells that tell them of the last call.
-    pub(super) fronts: Vec<Task<()>>,
-    pub(super) last_calls: Vec<Rc<Bell>>,
+    pub(super) accept_tasks: Vec<Task<()>>,
+    pub(super) stop_accepting: Vec<Rc<Notify>>,
     /// Takes this process out of the registry.
     pub(super) registry: Option<Task<()>>,
 }
 
-impl Ending {
-    fn left(&self, shared: &Handle) -> RemainingWork {
+impl Shutdown {
+    fn remaining_work(&self, shared: &Handle) -> RemainingWork {
         let Remaining { unanswered, playing, unheard_ends, .. } = shared.node.borrow().remaining();
         let registered = self.registry.as_ref().is_some_and(|task| !task.is_finished());
         RemainingWork {
             unanswered,
             playing,
-            connections: shared.accepted.get(),
+            connections: shared.client_count.get(),
             unheard_ends: unheard_ends + usize::from(registered),
-            accepting: self.fronts.iter().any(|front| !front.is_finished()),
-            successor_serves: self.handover.as_ref().is_some_and(|handover| handover.yielded()),
+            accepting: self.accept_tasks.iter().any(|task| !task.is_finished()),
+            successor_serves: self.handover.as_ref().is_some_and(|handover| handover.has_yielded()),
         }
     }
 }
 
 /// Ends the process by the plan; returns when it may exit.
-pub(super) async fn end(shared: &Handle, ending: Ending) {
-    let longest = || shared.timings.get().longest_deadline;
-    let killer = if ending.platform {
-        KillPolicy::Platform { successor_serves: ending.left(shared).successor_serves }
+pub(super) async fn shut_down(shared: &Handle, shutdown: Shutdown) {
+    let longest_deadline = || shared.timings.get().longest_deadline;
+    let kill_policy = if shutdown.serves_platform {
+        KillPolicy::Platform { successor_serves: shutdown.remaining_work(shared).successor_serves }
     } else {
         KillPolicy::ProcessManager
     };
-    let mut plan = ShutdownPlan::new(shared.now(), longest(), killer);
+    let mut plan = ShutdownPlan::new(shared.now(), longest_deadline(), kill_policy);
     let mut answer_by = plan.answer_by();
     step(shared, |node, now, out| node.set_shutdown_deadline(now, answer_by, out));
-    let reports = shared.executor.spawn(report(shared.clone(), plan));
+    let report_task = shared.executor.spawn(report_periodically(shared.clone(), plan));
     loop {
-        plan.shorten(longest());
+        plan.shorten(longest_deadline());
         if plan.answer_by() < answer_by {
             answer_by = plan.answer_by();
             step(shared, |node, now, out| node.set_shutdown_deadline(now, answer_by, out));
         }
-        while let Some(next) = plan.next(shared.now(), ending.left(shared)) {
+        while let Some(next) = plan.next(shared.now(), shutdown.remaining_work(shared)) {
             let left_ms = (plan.kill_at() - shared.now()).0 / 1000;
             info!(event = "ending.step", step = ?next, left_ms);
             match next {
-                Step::LastCall => ending.last_calls.iter().for_each(|bell| bell.ring()),
+                Step::LastCall => shutdown.stop_accepting.iter().for_each(|stop| stop.notify()),
                 // Nothing runs between the count and this: what comes from here on is turned away.
                 Step::CloseDoors => step(shared, |node, _, out| node.start_refusing(out)),
                 Step::Release => step(shared, |node, now, out| node.end(now, out)),
                 Step::Exit => {
-                    reports.cancel().await;
-                    tell_remaining(shared, plan);
+                    report_task.cancel().await;
+                    log_remaining(shared, plan);
                     return info!(event = "stopped");
                 }
             }
         }
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
 /// Tells, again and again, what keeps the process up.
-async fn report(shared: Handle, plan: ShutdownPlan) {
+async fn report_periodically(shared: Handle, plan: ShutdownPlan) {
     loop {
-        tell_remaining(&shared, plan);
-        Timer::after(REPORT_EVERY).await;
+        log_remaining(&shared, plan);
+        Timer::after(REPORT_INTERVAL).await;
     }
 }
 
 /// Tells once what keeps the process up.
-fn tell_remaining(shared: &Handle, plan: ShutdownPlan) {
+fn log_remaining(shared: &Handle, plan: ShutdownPlan) {
     let Remaining { unanswered, playing, clients, unheard_ends } = shared.node.borrow().remaining();
-    let unwritten = shared.boxes.borrow().values().filter(|outbox| !outbox.empty()).count();
+    let unwritten = shared.outboxes.borrow().values().filter(|outbox| !outbox.is_empty()).count();
     let now = shared.now();
     let left_ms = (plan.kill_at() - now).0 / 1000;
     info!(event = "ending", unanswered, playing, clients, unheard_ends, unwritten, left_ms);
-    for HeldRequest { id, class, conn, server, due } in shared.node.borrow().last_due(MOST_NAMED) {
+    for HeldRequest { id, class, conn, server, due } in shared.node.borrow().last_due(MAX_REPORTED_REQUESTS) {
         let (id, due_in_ms) = (format!("{:016x}", id.0), (due - now).0 / 1000);
         let conn = conn.map_or(0, |conn| conn.0);
         let server = server.map_or_else(|| "none".to_owned(), |server| server.to_string());
--- a/src/net/files.rs
+++ b/src/net/files.rs
@@ -14,7 +14,7 @@
 use tracing::{info, warn};
 
 use super::clock::Clock;
-use super::{Handle, micros, step, unix};
+use super::{Handle, step, to_duration, unix_now};
 use crate::api::{ListKind, Micros};
 use crate::config::{self, Config};
 use crate::disk::{self, Folder};
@@ -26,30 +26,30 @@
 use crate::watch::{Act, SetId, Touch, Watch, WatchConfig, WatchEvent};
 
 /// What the thread is told.
-enum Word {
+enum Request {
     /// The system tells of a change.
-    Event(notify::Result<Event>),
+    FileEvent(notify::Result<Event>),
     /// The operator asks for a reading.
-    Asked,
+    Read,
     /// A generation was taken.
     Save(Box<SavedLists>),
 }
 
 /// The serving side of watched files.
-pub(super) struct Files {
-    setup: WatchConfig,
+pub(super) struct WatchedFiles {
+    config: WatchConfig,
     bounds: Bounds,
-    to: mpsc::Sender<Word>,
+    requests: mpsc::Sender<Request>,
     /// Lists that are held back.
-    waiting: Option<Lists>,
+    held_lists: Option<Lists>,
     /// What is in use.
-    lists: Option<Lists>,
+    current_lists: Option<Lists>,
     script: Option<String>,
     restored: Option<SavedLists>,
 }
 
 /// The log's line of a generation that is in use.
-fn log_taken(taken: &GenerationChange) {
+fn log_generation(taken: &GenerationChange) {
     let digest = taken.digest.map(|d| d.short());
     info!(
         event = "list.taken",
@@ -65,15 +65,15 @@
 
 /// Announces a generation in the log and tells the node of it.
 pub(super) fn announce(shared: &Handle, taken: GenerationChange) {
-    log_taken(&taken);
+    log_generation(&taken);
     step(shared, |node, now, out| node.news(now, taken.news, out));
-    shared.listed.ring();
+    shared.list_changed.notify();
 }
 
 /// A source with a list of its own has spoken.
-pub(super) fn hear(shared: &Handle, source: Source, news: ListUpdate) {
-    let verdict = shared.roster.borrow_mut().hear(shared.now(), source, news);
-    match verdict {
+pub(super) fn offer(shared: &Handle, source: Source, update: ListUpdate) {
+    let outcome = shared.roster.borrow_mut().hear(shared.now(), source, update);
+    match outcome {
         OfferOutcome::Taken(taken) => announce(shared, taken),
         OfferOutcome::Shadowed(by) => {
             info!(event = "list.shadowed", source = source.name(), by = by.name());
@@ -82,14 +82,14 @@
     }
 }
 
-impl Files {
+impl WatchedFiles {
     /// Takes in what the thread tells.
-    fn told(&mut self, shared: &Handle, told: WatchEvent) {
-        match told {
-            WatchEvent::Lists(lists, asked) => self.offered(shared, lists, asked),
+    fn handle_event(&mut self, shared: &Handle, event: WatchEvent) {
+        match event {
+            WatchEvent::Lists(lists, is_requested) => self.handle_lists(shared, lists, is_requested),
             WatchEvent::SameScript(digest) => info!(event = "script.same", digest = digest.short().as_str()),
             WatchEvent::Script(digest, text) => {
-                let operations = self.setup.script.as_ref().map_or(0, |(_, operations)| *operations);
+                let operations = self.config.script.as_ref().map_or(0, |(_, operations)| *operations);
                 if step(shared, |node, _, _| node.replace_script(&text, operations)) {
                     info!(event = "script.taken", digest = digest.short().as_str());
                     self.script = Some(text);
@@ -97,7 +97,7 @@
                 }
             }
             WatchEvent::Withdrawn => {
-                self.waiting = None;
+                self.held_lists = None;
                 shared.roster.borrow_mut().withdraw();
             }
             WatchEvent::Refused { set, finding, quiet } => {
@@ -115,45 +115,45 @@
     }
 
     /// Good lists came, perhaps the same as before.
-    fn offered(&mut self, shared: &Handle, lists: Lists, asked: bool) {
+    fn handle_lists(&mut self, shared: &Handle, lists: Lists, is_requested: bool) {
         let offered = lists.servers.clone();
-        let verdict =
+        let outcome =
             offered.map_or(OfferOutcome::Same, |c| shared.roster.borrow_mut().offer(shared.now(), c));
-        match verdict {
-            OfferOutcome::Taken(taken) => self.taken(shared, taken, lists),
+        match outcome {
+            OfferOutcome::Taken(taken) => self.apply(shared, taken, lists),
             OfferOutcome::Same => {
-                self.waiting = None;
-                let news = self.lists.as_ref().is_none_or(|old| old.digest != lists.digest);
+                self.held_lists = None;
+                let is_new = self.current_lists.as_ref().is_none_or(|old| old.digest != lists.digest);
                 self.adopt(shared, lists);
-                if news {
+                if is_new {
                     self.save(shared);
                 }
-                if let Some(kept) = self.restored.take() {
-                    self.unchanged(shared, &kept);
-                } else if asked {
+                if let Some(saved) = self.restored.take() {
+                    self.log_unchanged(shared, &saved);
+                } else if is_requested {
                     let generation = shared.roster.borrow().current().number;
-                    let digest = self.lists.as_ref().map(|l| l.digest.short());
+                    let digest = self.current_lists.as_ref().map(|l| l.digest.short());
                     info!(event = "list.same", generation, digest = digest.as_deref());
                 }
             }
             OfferOutcome::Held { until, dropped, of, news } => {
-                if news || asked {
+                if news || is_requested {
                     let wait_ms = (until - shared.now()).0 / 1000;
                     let digest = lists.digest.short();
                     warn!(event = "list.held", dropped, of, wait_ms, digest = digest.as_str());
                 }
-                self.waiting = Some(lists);
-                shared.listed.ring();
+                self.held_lists = Some(lists);
+                shared.list_changed.notify();
             }
             OfferOutcome::Older { revision, than } => {
-                self.waiting = None;
-                let file = self.name(Role::Servers);
+                self.held_lists = None;
+                let file = self.file_name(Role::Servers);
                 let reason = format!("{revision} is older than {than}, which is in use");
                 warn!(event = "list.refused", file, field = "revision", reason = reason.as_str());
             }
             OfferOutcome::Shadowed(by) => {
-                self.waiting = None;
-                if self.lists.as_ref().is_none_or(|old| old.digest != lists.digest) {
+                self.held_lists = None;
+                if self.current_lists.as_ref().is_none_or(|old| old.digest != lists.digest) {
                     info!(event = "list.shadowed", source = Source::Watched.name(), by = by.name());
                 }
                 self.adopt(shared, lists);
@@ -161,31 +161,31 @@
         }
     }
 
-    fn name(&self, role: Role) -> &str {
-        self.setup.lists.iter().find(|f| f.role == role).map_or(role.name(), |f| f.name.as_str())
+    fn file_name(&self, role: Role) -> &str {
+        self.config.lists.iter().find(|f| f.role == role).map_or(role.name(), |f| f.name.as_str())
     }
 
     /// A generation was taken: the titles that belong to it are in use from now on too.
-    fn taken(&mut self, shared: &Handle, taken: GenerationChange, lists: Lists) {
-        (self.waiting, self.restored) = (None, None);
+    fn apply(&mut self, shared: &Handle, taken: GenerationChange, lists: Lists) {
+        (self.held_lists, self.restored) = (None, None);
         announce(shared, taken);
         self.adopt(shared, lists);
         self.save(shared);
     }
 
     fn adopt(&mut self, shared: &Handle, lists: Lists) {
-        let old = self.lists.as_ref().and_then(|l| l.titles.as_ref());
+        let old = self.current_lists.as_ref().and_then(|l| l.titles.as_ref());
         if let Some(titles) = lists.titles.as_ref().filter(|new| old != Some(new)) {
             let named = titles.iter().map(|t| config::title(t, shared.node.borrow().names())).collect();
             shared.node.borrow_mut().replace_titles(named);
             info!(event = "titles.taken", titles = titles.len(), digest = lists.digest.short().as_str());
         }
-        self.lists = Some(lists);
+        self.current_lists = Some(lists);
     }
 
     /// Gives the thread what is in use, to be kept.
     fn save(&self, shared: &Handle) {
-        if self.setup.state.is_none() {
+        if self.config.state.is_none() {
             return;
         }
         let roster = shared.roster.borrow();
@@ -194,41 +194,41 @@
         let started =
             current.servers.iter().filter_map(|(id, l)| Some((id.0.to_string(), l.entry.up_since?.0)));
         let mut texts: BTreeMap<String, String> = BTreeMap::new();
-        for (role, text) in self.lists.iter().flat_map(|l| &l.texts) {
+        for (role, text) in self.current_lists.iter().flat_map(|l| &l.texts) {
             texts.insert(role.name().to_owned(), text.clone());
         }
         if let Some(script) = &self.script {
             texts.insert(Role::Script.name().to_owned(), script.clone());
         }
-        let kept = SavedLists {
+        let saved = SavedLists {
             generation: if watched { current.number } else { 0 },
             taken: shared.now().0,
             texts,
             started: if watched { started.collect() } else { BTreeMap::new() },
         };
         // The thread ends with the program only.
-        let _ = self.to.send(Word::Save(Box::new(kept)));
+        let _ = self.requests.send(Request::Save(Box::new(saved)));
     }
 
     /// Starts from lists that were kept.
-    fn restore(&mut self, shared: &Handle, kept: SavedLists) {
+    fn restore(&mut self, shared: &Handle, saved: SavedLists) {
         let file = |role: Role, text: &str| (role, text.to_owned());
         let texts: Vec<_> = self
-            .setup
+            .config
             .lists
             .iter()
-            .filter_map(|f| kept.text(f.role).map(|text| file(f.role, text)))
+            .filter_map(|f| saved.text(f.role).map(|text| file(f.role, text)))
             .collect();
-        if texts.len() == self.setup.lists.len() && !texts.is_empty() {
-            match judge::good(&self.setup.lists, texts, &self.bounds) {
+        if texts.len() == self.config.lists.len() && !texts.is_empty() {
+            match judge::good(&self.config.lists, texts, &self.bounds) {
                 Ok(lists) => {
-                    let started = kept.started.iter().map(|(id, at)| (id.clone(), Micros(*at))).collect();
+                    let started = saved.started.iter().map(|(id, at)| (id.clone(), Micros(*at))).collect();
                     let now = shared.now();
-                    let verdict = lists
+                    let outcome = lists
                         .servers
                         .clone()
-                        .map(|c| shared.roster.borrow_mut().restore(now, kept.generation, c, &started));
-                    if let Some(OfferOutcome::Taken(taken)) = verdict {
+                        .map(|c| shared.roster.borrow_mut().restore(now, saved.generation, c, &started));
+                    if let Some(OfferOutcome::Taken(taken)) = outcome {
                         step(shared, |node, now, out| node.news(now, taken.news, out));
                     }
                     self.adopt(shared, lists);
@@ -239,19 +239,19 @@
                 }
             }
         }
-        if let (Some((_, operations)), Some(text)) = (&self.setup.script, kept.text(Role::Script))
+        if let (Some((_, operations)), Some(text)) = (&self.config.script, saved.text(Role::Script))
             && shared.node.borrow_mut().replace_script(text, *operations)
         {
             self.script = Some(text.to_owned());
         }
-        self.restored = Some(kept);
+        self.restored = Some(saved);
     }
 
     /// The files are what they were at the last stop.
-    fn unchanged(&self, shared: &Handle, kept: &SavedLists) {
+    fn log_unchanged(&self, shared: &Handle, saved: &SavedLists) {
         let roster = shared.roster.borrow();
-        log_taken(&GenerationChange {
-            generation: kept.generation,
+        log_generation(&GenerationChange {
+            generation: saved.generation,
             source: Source::Watched,
             servers: roster.current().servers.len(),
             added: 0,
@@ -263,9 +263,9 @@
     }
 
     /// At the end of the start: says what is served from, where the files did not give it.
-    fn opened(&mut self, shared: &Handle) {
-        let Some(kept) = self.restored.take() else {
-            if self.lists.is_none() && !self.setup.lists.is_empty() {
+    fn finish_start(&mut self, shared: &Handle) {
+        let Some(saved) = self.restored.take() else {
+            if self.current_lists.is_none() && !self.config.lists.is_empty() {
                 warn!(
                     event = "list.none",
                     "list.none: no good list and no copy of one; the first good one is taken"
@@ -273,12 +273,12 @@
             }
             return;
         };
-        let age_ms = (shared.now() - kept.taken()).0 / 1000;
+        let age_ms = (shared.now() - saved.taken()).0 / 1000;
         let servers = shared.roster.borrow().current().servers.len();
-        let digest = self.lists.as_ref().map(|l| l.digest.short());
+        let digest = self.current_lists.as_ref().map(|l| l.digest.short());
         warn!(
             event = "list.restored",
-            generation = kept.generation,
+            generation = saved.generation,
             servers,
             age_ms,
             digest = digest.as_deref(),
@@ -287,24 +287,28 @@
 }
 
 /// Reads the watched files for the first time and starts to watch them.
-pub(super) fn start(shared: &Handle, config: &Config, setup: WatchConfig) -> Rc<RefCell<Files>> {
-    let (to, from) = mpsc::channel();
+pub(super) fn start(
+    shared: &Handle,
+    config: &Config,
+    watch_config: WatchConfig,
+) -> Rc<RefCell<WatchedFiles>> {
+    let (requests, request_receiver) = mpsc::channel();
     let bounds = config.bounds.clone();
-    let mut files = Files {
-        setup: setup.clone(),
+    let mut files = WatchedFiles {
+        config: watch_config.clone(),
         bounds: bounds.clone(),
-        to: to.clone(),
-        waiting: None,
-        lists: None,
+        requests: requests.clone(),
+        held_lists: None,
+        current_lists: None,
         script: None,
         restored: None,
     };
     let clock = Clock::default();
-    let mut watch = Watch::new(setup.clone(), bounds, clock.read(unix()));
-    let mut state = setup.state.as_ref().and_then(|path| open_state(path, &config.name));
+    let mut watch = Watch::new(watch_config.clone(), bounds, clock.read(unix_now()));
+    let mut state = watch_config.state.as_ref().and_then(|path| open_state(path, &config.name));
     if let Some((store, folder)) = &mut state {
         match store.load(folder) {
-            Ok(Some(kept)) => files.restore(shared, kept),
+            Ok(Some(saved)) => files.restore(shared, saved),
             Ok(None) => {}
             Err(error) => {
                 warn!(
@@ -315,73 +319,73 @@
             }
         }
     }
-    if let Some(lists) = &files.lists {
+    if let Some(lists) = &files.current_lists {
         watch.proved(SetId::Lists, lists.digest);
     }
     if let Some(script) = &files.script {
         watch.proved(SetId::Script, seal::digest(script.as_bytes()));
     }
     // The system is asked first: what changes after the first reading is not missed.
-    let mut eyes = Eyes::new(&setup, to);
-    eyes.moved();
-    let mut told = Vec::new();
-    work(&mut watch, &clock, &mut told);
-    for told in told {
-        files.told(shared, told);
+    let mut folder_watcher = FolderWatcher::new(&watch_config, requests);
+    folder_watcher.refresh_watches();
+    let mut events = Vec::new();
+    run_due(&mut watch, &clock, &mut events);
+    for event in events {
+        files.handle_event(shared, event);
     }
-    files.opened(shared);
-    let (tell, hear) = async_channel::unbounded();
+    files.finish_start(shared);
+    let (event_sender, event_receiver) = async_channel::unbounded();
     let spawned = std::thread::Builder::new().name("files".into()).spawn(move || {
-        follow(watch, &clock, eyes, &from, state, &tell);
+        run_thread(watch, &clock, folder_watcher, &request_receiver, state, &event_sender);
     });
     if let Err(error) = spawned {
         warn!(event = "watch.off", reason = error.to_string().as_str());
     }
     let files = Rc::new(RefCell::new(files));
-    let (handle, mine) = (shared.clone(), files.clone());
-    let listen = async move {
-        while let Ok(told) = hear.recv().await {
-            mine.borrow_mut().told(&handle, told);
+    let (handle, watched_files) = (shared.clone(), files.clone());
+    let handle_events = async move {
+        while let Ok(event) = event_receiver.recv().await {
+            watched_files.borrow_mut().handle_event(&handle, event);
         }
     };
-    shared.executor.spawn(listen).detach();
+    shared.executor.spawn(handle_events).detach();
     files
 }
 
 /// Asks for a reading, as the operator's signal does.
-pub(super) fn ask(files: &Rc<RefCell<Files>>) {
-    let _ = files.borrow().to.send(Word::Asked);
+pub(super) fn request_read(files: &Rc<RefCell<WatchedFiles>>) {
+    let _ = files.borrow().requests.send(Request::Read);
 }
 
 /// Takes lists that were held back when they are due, and lets servers go that were dropped.
-pub(super) async fn keep(shared: Handle, files: Option<Rc<RefCell<Files>>>) {
+pub(super) async fn maintain_roster(shared: Handle, files: Option<Rc<RefCell<WatchedFiles>>>) {
     loop {
         let due = shared.roster.borrow().next_due();
         let wait = async {
             match due {
                 Some(due) => {
-                    Timer::after(micros(due - shared.now())).await;
+                    Timer::after(to_duration(due - shared.now())).await;
                 }
                 None => future::pending().await,
             }
         };
-        future::or(shared.listed.heard(), wait).await;
+        future::or(shared.list_changed.notified(), wait).await;
         let now = shared.now();
         let due = shared.roster.borrow_mut().tick(now);
         if let (Some(OfferOutcome::Taken(taken)), Some(files)) = (due, &files) {
-            let waiting = files.borrow_mut().waiting.take();
-            match waiting {
-                Some(lists) => files.borrow_mut().taken(&shared, taken, lists),
+            let held_lists = files.borrow_mut().held_lists.take();
+            match held_lists {
+                Some(lists) => files.borrow_mut().apply(&shared, taken, lists),
                 None => announce(&shared, taken),
             }
         }
-        let parted = {
+        let removals = {
             let node = shared.node.borrow();
             shared.roster.borrow_mut().part(now, |id| node.busy(id))
         };
-        if let Some(news) = parted {
-            info!(event = "list.parted", servers = news.servers.len());
-            step(&shared, |node, now, out| node.news(now, news, out));
+        if let Some(update) = removals {
+            info!(event = "list.parted", servers = update.servers.len());
+            step(&shared, |node, now, out| node.news(now, update, out));
         }
     }
 }
@@ -403,60 +407,62 @@
 }
 
 /// Does what is due.
-fn work(watch: &mut Watch, clock: &Clock, told: &mut Vec<WatchEvent>) {
-    while let Some(act) = watch.due(clock.read(unix()), told) {
+fn run_due(watch: &mut Watch, clock: &Clock, events: &mut Vec<WatchEvent>) {
+    while let Some(act) = watch.due(clock.read(unix_now()), events) {
         match act {
             Act::Look(set) => {
                 let stamps: Vec<_> = watch.files(set).iter().map(|f| disk::look(&f.path)).collect();
-                watch.looked(clock.read(unix()), set, &stamps);
+                watch.looked(clock.read(unix_now()), set, &stamps);
             }
             Act::Read(set) => {
-                let (began, most) = (clock.read(unix()), watch.setup().most);
-                let reads = watch.files(set).iter().map(|f| disk::read(&f.path, most)).collect();
-                watch.read(began, clock.read(unix()), set, reads, told);
+                let (began, max_bytes) = (clock.read(unix_now()), watch.setup().most);
+                let reads = watch.files(set).iter().map(|f| disk::read(&f.path, max_bytes)).collect();
+                watch.read(began, clock.read(unix_now()), set, reads, events);
             }
         }
     }
 }
 
 /// The thread: waits for words and for the time, reads, and tells.
-fn follow(
+fn run_thread(
     mut watch: Watch,
     clock: &Clock,
-    mut eyes: Eyes,
-    from: &mpsc::Receiver<Word>,
+    mut folder_watcher: FolderWatcher,
+    requests: &mpsc::Receiver<Request>,
     mut state: Option<(Store, Folder)>,
-    tell: &async_channel::Sender<WatchEvent>,
+    event_sender: &async_channel::Sender<WatchEvent>,
 ) {
     loop {
-        let wait = micros(watch.next_due() - clock.read(unix()));
-        let mut word = match from.recv_timeout(wait) {
-            Ok(word) => Some(word),
+        let wait = to_duration(watch.next_due() - clock.read(unix_now()));
+        let mut request = match requests.recv_timeout(wait) {
+            Ok(request) => Some(request),
             Err(RecvTimeoutError::Timeout) => None,
             Err(RecvTimeoutError::Disconnected) => return,
         };
         let mut save = None;
-        while let Some(next) = word {
+        while let Some(next) = request {
             match next {
-                Word::Event(event) => eyes.seen(&mut watch, clock.read(unix()), event),
-                Word::Asked => watch.asked(clock.read(unix())),
+                Request::FileEvent(event) => {
+                    folder_watcher.forward_event(&mut watch, clock.read(unix_now()), event)
+                }
+                Request::Read => watch.asked(clock.read(unix_now())),
                 // Of several only the last one is worth keeping.
-                Word::Save(kept) => save = Some(kept),
+                Request::Save(saved) => save = Some(saved),
             }
-            word = from.try_recv().ok();
+            request = requests.try_recv().ok();
         }
-        if let (Some(kept), Some((store, folder))) = (save, &mut state)
-            && let Err(error) = store.save(folder, &kept)
+        if let (Some(saved), Some((store, folder))) = (save, &mut state)
+            && let Err(error) = store.save(folder, &saved)
         {
             warn!(event = "state.failed", file = store.file().as_str(), reason = error.to_string().as_str());
         }
-        if eyes.moved() {
-            watch.touched(clock.read(unix()), None, Touch::Other);
+        if folder_watcher.refresh_watches() {
+            watch.touched(clock.read(unix_now()), None, Touch::Other);
         }
-        let mut told = Vec::new();
-        work(&mut watch, clock, &mut told);
-        for told in told {
-            if tell.send_blocking(told).is_err() {
+        let mut events = Vec::new();
+        run_due(&mut watch, clock, &mut events);
+        for event in events {
+            if event_sender.send_blocking(event).is_err() {
                 return;
             }
         }
@@ -465,25 +471,25 @@
 
 /// How the system tells of changes: the folders on the way to each file are watched, as a file or a link or a
 /// folder may be swapped at any step of it.
-struct Eyes {
+struct FolderWatcher {
     watcher: Option<RecommendedWatcher>,
     files: Vec<(Role, PathBuf)>,
     base: PathBuf,
     /// Folders that are watched, by the inode that each had.
-    open: BTreeMap<PathBuf, (u64, u64)>,
+    watched: BTreeMap<PathBuf, (u64, u64)>,
 }
 
-impl Eyes {
-    fn new(setup: &WatchConfig, to: mpsc::Sender<Word>) -> Eyes {
-        let all = setup.lists.iter().chain(setup.script.iter().map(|(file, _)| file));
+impl FolderWatcher {
+    fn new(config: &WatchConfig, requests: mpsc::Sender<Request>) -> FolderWatcher {
+        let all = config.lists.iter().chain(config.script.iter().map(|(file, _)| file));
         let files = all.map(|f| (f.role, f.path.clone())).collect();
-        let watcher = setup.notify.then(|| {
+        let watcher = config.notify.then(|| {
             notify::recommended_watcher(move |event: notify::Result<Event>| {
                 // Readings make events of their own, which tell nothing.
-                if event.as_ref().is_ok_and(|e| touch(&e.kind).is_none() && !e.need_rescan()) {
+                if event.as_ref().is_ok_and(|e| touch_of(&e.kind).is_none() && !e.need_rescan()) {
                     return;
                 }
-                let _ = to.send(Word::Event(event));
+                let _ = requests.send(Request::FileEvent(event));
             })
         });
         let watcher = match watcher {
@@ -494,12 +500,12 @@
             }
             None => None,
         };
-        let base = if setup.base.as_os_str().is_empty() { PathBuf::from(".") } else { setup.base.clone() };
-        Eyes { watcher, files, base, open: BTreeMap::new() }
+        let base = if config.base.as_os_str().is_empty() { PathBuf::from(".") } else { config.base.clone() };
+        FolderWatcher { watcher, files, base, watched: BTreeMap::new() }
     }
 
     /// Folders that are to be watched, as they are now.
-    fn wanted(&self) -> BTreeMap<PathBuf, (u64, u64)> {
+    fn folders_to_watch(&self) -> BTreeMap<PathBuf, (u64, u64)> {
         use std::os::unix::fs::MetadataExt as _;
         let mut wanted = BTreeMap::new();
         let mut add = |path: &Path| {
@@ -526,59 +532,61 @@
     }
 
     /// Whether a folder on the way is another one than before; it is watched from now on.
-    fn moved(&mut self) -> bool {
+    fn refresh_watches(&mut self) -> bool {
         if self.watcher.is_none() {
             return false;
         }
-        let wanted = self.wanted();
-        if wanted == self.open {
+        let wanted = self.folders_to_watch();
+        if wanted == self.watched {
             return false;
         }
         let Some(watcher) = &mut self.watcher else { return false };
-        for (path, inode) in &self.open {
+        for (path, inode) in &self.watched {
             if wanted.get(path) != Some(inode) {
                 // It may be gone, and the watch with it.
                 let _ = watcher.unwatch(path);
             }
         }
-        let mut open = BTreeMap::new();
+        let mut watched = BTreeMap::new();
         for (path, inode) in wanted {
-            let kept = self.open.get(&path) == Some(&inode);
-            match if kept { Ok(()) } else { watcher.watch(&path, RecursiveMode::NonRecursive) } {
+            let is_watched = self.watched.get(&path) == Some(&inode);
+            match if is_watched { Ok(()) } else { watcher.watch(&path, RecursiveMode::NonRecursive) } {
                 Ok(()) => {
-                    open.insert(path, inode);
+                    watched.insert(path, inode);
                 }
                 Err(error) => {
                     let file = path.display().to_string();
                     warn!(event = "watch.blind", file = file.as_str(), reason = error.to_string().as_str());
                     // It is looked at now and then instead.
-                    open.insert(path, inode);
+                    watched.insert(path, inode);
                 }
             }
         }
-        self.open = open;
+        self.watched = watched;
         true
     }
 
     /// Passes an event on.
-    fn seen(&self, watch: &mut Watch, now: Micros, event: notify::Result<Event>) {
+    fn forward_event(&self, watch: &mut Watch, now: Micros, event: notify::Result<Event>) {
         let event = match event {
             Ok(event) if !event.need_rescan() => event,
             // Events were lost: anything may have changed.
             _ => return watch.touched(now, None, Touch::Other),
         };
-        let Some(touch) = touch(&event.kind) else { return };
+        let Some(touch) = touch_of(&event.kind) else { return };
         for path in &event.paths {
-            let mut mine = false;
+            let mut is_watched_file = false;
             for (role, file) in &self.files {
                 let linked = || std::fs::canonicalize(file).is_ok_and(|real| real == *path);
-                if same(file, path) || linked() {
-                    mine = true;
+                if is_same_path(file, path) || linked() {
+                    is_watched_file = true;
                     watch.touched(now, Some(*role), touch);
                 }
             }
             // A folder or a link on the way: all below it may be others now.
-            if !mine && self.files.iter().any(|(_, file)| file.ancestors().skip(1).any(|f| same(f, path))) {
+            if !is_watched_file
+                && self.files.iter().any(|(_, file)| file.ancestors().skip(1).any(|f| is_same_path(f, path)))
+            {
                 watch.touched(now, None, Touch::Other);
             }
         }
@@ -586,13 +594,13 @@
 }
 
 /// Whether two paths are written alike but for a leading `./`.
-fn same(a: &Path, b: &Path) -> bool {
-    let plain = |p: &Path| p.strip_prefix(".").map_or_else(|_| p.to_owned(), Path::to_owned);
-    plain(a) == plain(b)
+fn is_same_path(a: &Path, b: &Path) -> bool {
+    let normalized = |p: &Path| p.strip_prefix(".").map_or_else(|_| p.to_owned(), Path::to_owned);
+    normalized(a) == normalized(b)
 }
 
 /// What an event is to a file's content; none: nothing.
-fn touch(kind: &EventKind) -> Option<Touch> {
+fn touch_of(kind: &EventKind) -> Option<Touch> {
     match kind {
         EventKind::Modify(ModifyKind::Name(RenameMode::To)) => Some(Touch::Renamed),
         // Both ends of a rename are told once more, after each was told alone.
--- a/src/net/handover/gate.rs
+++ b/src/net/handover/gate.rs
@@ -2,32 +2,32 @@
 
 use std::cell::Cell;
 
-use crate::net::outbox::Bell;
+use crate::net::outbox::Notify;
 
 /// Whether clients' connections are accepted.
 #[derive(Debug, Default)]
 pub(in crate::net) struct Gate {
-    open: Cell<bool>,
-    bell: Bell,
+    is_open: Cell<bool>,
+    changed: Notify,
 }
 
 impl Gate {
     pub(super) fn set(&self, open: bool) {
-        self.open.set(open);
-        self.bell.ring();
+        self.is_open.set(open);
+        self.changed.notify();
     }
 
     /// Waits until it is open.
-    pub(in crate::net) async fn opened(&self) {
-        while !self.open.get() {
-            self.bell.heard().await;
+    pub(in crate::net) async fn wait_until_open(&self) {
+        while !self.is_open.get() {
+            self.changed.notified().await;
         }
     }
 
     /// Waits until it is closed.
-    pub(in crate::net) async fn closed(&self) {
-        while self.open.get() {
-            self.bell.heard().await;
+    pub(in crate::net) async fn wait_until_closed(&self) {
+        while self.is_open.get() {
+            self.changed.notified().await;
         }
     }
 }
--- a/src/net/handover/meeting.rs
+++ b/src/net/handover/meeting.rs
@@ -10,26 +10,26 @@
 use futures_lite::future;
 use tracing::{info, warn};
 
-use super::{AGAIN, Handover};
+use super::{Handover, RETRY_INTERVAL};
 use crate::net::Handle;
-use crate::net::conns::STALLED;
+use crate::net::conns::WRITE_TIMEOUT;
 use crate::net::outbox::Outbox;
-use crate::net::reading::{TURN, code, within};
+use crate::net::reading::{READ_BUFFER_BYTES, error_code, with_timeout};
 use crate::operate::handover::giver::TakeoverConn;
 use crate::operate::handover::{Message, Reader};
 
 /// Where the processes of one broker meet. A path that the system can't take for a socket is made shorter.
-pub(in crate::net) fn place(folder: &Path, name: &str) -> PathBuf {
-    let plain = |c: char| if c.is_ascii_alphanumeric() || "-_.".contains(c) { c } else { '_' };
-    let mark = blake3::hash(name.as_bytes()).to_hex();
-    let name: String = name.chars().map(plain).take(24).collect();
-    folder.join(format!("as-{name}-{}.sock", &mark[..8]))
+pub(in crate::net) fn socket_path(folder: &Path, name: &str) -> PathBuf {
+    let safe_char = |c: char| if c.is_ascii_alphanumeric() || "-_.".contains(c) { c } else { '_' };
+    let digest = blake3::hash(name.as_bytes()).to_hex();
+    let name: String = name.chars().map(safe_char).take(24).collect();
+    folder.join(format!("as-{name}-{}.sock", &digest[..8]))
 }
 
 /// Connects to whoever is at the meeting point; none: nobody is. An error: somebody is there and can't be reached now,
 /// as one that is stopped with a full queue.
-pub(super) async fn reach(path: &Path) -> io::Result<Option<Async<UnixStream>>> {
-    match within(STALLED, Async::<UnixStream>::connect(path)).await {
+pub(super) async fn try_connect(path: &Path) -> io::Result<Option<Async<UnixStream>>> {
+    match with_timeout(WRITE_TIMEOUT, Async::<UnixStream>::connect(path)).await {
         Ok(stream) => Ok(Some(stream)),
         Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => Err(e),
         Err(_) => Ok(None),
@@ -48,28 +48,28 @@
 
 /// Reads and writes until the connection ends. What can't be read is not acted on, but the connection stays: its end
 /// tells of the other process' end.
-pub(super) async fn converse(
+pub(super) async fn exchange_messages(
     stream: &Async<UnixStream>,
     outbox: &Outbox,
-    mut hear: impl FnMut(Message),
+    mut handle: impl FnMut(Message),
 ) -> &'static str {
     let read = async {
-        let (mut reader, mut buffer) = (Reader::default(), vec![0; TURN]);
+        let (mut reader, mut buffer) = (Reader::default(), vec![0; READ_BUFFER_BYTES]);
         loop {
             match stream.read_with(|mut s| s.read(&mut buffer)).await {
                 Ok(0) => return "end-of-stream",
-                Ok(n) => reader.feed(&buffer[..n]).into_iter().for_each(&mut hear),
-                Err(error) => return code(&error),
+                Ok(n) => reader.feed(&buffer[..n]).into_iter().for_each(&mut handle),
+                Err(error) => return error_code(&error),
             }
             future::yield_now().await;
         }
     };
     let write = async {
         while outbox.ready().await.is_none() {
-            let piece = stream.write_with(|mut s| outbox.gather(|slices| s.write_vectored(slices)));
-            match piece.await {
-                Ok(n) => drop(outbox.written(n)),
-                Err(error) => return code(&error),
+            let write = stream.write_with(|mut s| outbox.write_queued(|slices| s.write_vectored(slices)));
+            match write.await {
+                Ok(n) => drop(outbox.advance(n)),
+                Err(error) => return error_code(&error),
             }
         }
         "overflow"
@@ -80,53 +80,56 @@
 /// Takes this process' place at the meeting point, where the next one asks. The name goes over in one step, so that
 /// who asks meets either the old process or this one.
 pub(super) fn listen(shared: &Handle, handover: &Rc<Handover>) {
-    let path = &handover.path;
-    let own = path.with_extension(format!("{}", std::process::id()));
-    let bound = || -> io::Result<(Async<UnixListener>, FileId)> {
-        match std::fs::remove_file(&own) {
+    let path = &handover.socket_path;
+    let own_path = path.with_extension(format!("{}", std::process::id()));
+    let bind = || -> io::Result<(Async<UnixListener>, FileId)> {
+        match std::fs::remove_file(&own_path) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
             _ => {}
         }
-        let listener = Async::<UnixListener>::bind(&own)?;
-        std::fs::set_permissions(&own, std::fs::Permissions::from_mode(0o600))?;
-        let id = FileId::of(&own)?;
-        std::fs::rename(&own, path)?;
+        let listener = Async::<UnixListener>::bind(&own_path)?;
+        std::fs::set_permissions(&own_path, std::fs::Permissions::from_mode(0o600))?;
+        let id = FileId::of(&own_path)?;
+        std::fs::rename(&own_path, path)?;
         Ok((listener, id))
     };
-    match bound() {
+    match bind() {
         Ok((listener, id)) => {
-            handover.own_place.set(Some(id));
-            let hears = shared.executor.spawn(suitors(shared.clone(), handover.clone(), listener));
-            *handover.meeting.borrow_mut() = Some(hears);
+            handover.own_socket.set(Some(id));
+            let task = shared.executor.spawn(accept_takeovers(shared.clone(), handover.clone(), listener));
+            *handover.accept_task.borrow_mut() = Some(task);
         }
         Err(error) => warn!(event = "no hand-over", path = %path.display(), reason = %error),
     }
 }
 
 /// Hears those that ask, also once it has yielded: until the next one is there, who asks must not find nobody.
-async fn suitors(shared: Handle, handover: Rc<Handover>, listener: Async<UnixListener>) {
+async fn accept_takeovers(shared: Handle, handover: Rc<Handover>, listener: Async<UnixListener>) {
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                warn!(event = "accept failed", front = "hand-over", reason = code(&error));
-                Timer::after(AGAIN).await;
+                warn!(event = "accept failed", front = "hand-over", reason = error_code(&error));
+                Timer::after(RETRY_INTERVAL).await;
                 continue;
             }
         };
-        handover.next.set(handover.next.get() + 1);
-        let (suitor, outbox) =
-            (TakeoverConn(handover.next.get()), Rc::new(Outbox::new(&shared.queues.servers)));
-        handover.suitors.borrow_mut().insert(suitor, outbox.clone());
+        handover.last_takeover.set(handover.last_takeover.get() + 1);
+        let (takeover, outbox) =
+            (TakeoverConn(handover.last_takeover.get()), Rc::new(Outbox::new(&shared.queue_limits.servers)));
+        handover.takeovers.borrow_mut().insert(takeover, outbox.clone());
         let (shared, handover) = (shared.clone(), handover.clone());
         let executor = shared.executor.clone();
-        let talk = async move {
-            let hear = |message| handover.as_giver(&shared, |giver, out| giver.heard(suitor, &message, out));
-            let reason = converse(&stream, &outbox, hear).await;
-            handover.suitors.borrow_mut().remove(&suitor);
+        let exchange = async move {
+            let handle = |message| {
+                handover
+                    .as_predecessor(&shared, |predecessor, out| predecessor.heard(takeover, &message, out))
+            };
+            let reason = exchange_messages(&stream, &outbox, handle).await;
+            handover.takeovers.borrow_mut().remove(&takeover);
             info!(event = "end", peer = "new process", reason);
-            handover.as_giver(&shared, |giver, out| giver.ended(suitor, out));
+            handover.as_predecessor(&shared, |predecessor, out| predecessor.ended(takeover, out));
         };
-        executor.spawn(talk).detach();
+        executor.spawn(exchange).detach();
     }
 }
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -13,73 +13,73 @@
 use futures_lite::future;
 use tracing::{info, warn};
 
-use super::outbox::{Bell, Outbox};
-use super::{Handle, micros, step};
+use super::outbox::{Notify, Outbox};
+use super::{Handle, step, to_duration};
 use crate::operate::handover::giver::{self, Predecessor, TakeoverConn};
 use crate::operate::handover::heir::{self, Successor};
 use crate::operate::handover::{Message, encode};
 use gate::Gate;
-pub(super) use meeting::place;
-use meeting::{FileId, converse, listen, reach};
+pub(super) use meeting::socket_path;
+use meeting::{FileId, exchange_messages, listen, try_connect};
 
 /// Time before the process at the meeting point is asked again.
-const AGAIN: std::time::Duration = std::time::Duration::from_millis(20);
+const RETRY_INTERVAL: std::time::Duration = std::time::Duration::from_millis(20);
 /// Time between looks whether anybody still waits here, once another process serves.
-const LOOK: std::time::Duration = std::time::Duration::from_millis(10);
+const POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(10);
 
 /// This process between the one before it and the one after it.
 pub(super) struct Handover {
-    path: PathBuf,
+    socket_path: PathBuf,
     /// When this process started, by the machine's clock that is never set.
     started: u64,
-    giver: RefCell<Predecessor>,
-    heir: RefCell<Option<Successor>>,
+    predecessor_role: RefCell<Predecessor>,
+    successor_role: RefCell<Option<Successor>>,
     /// The connection to the process before.
-    old: RefCell<Option<Rc<Outbox>>>,
+    predecessor_outbox: RefCell<Option<Rc<Outbox>>>,
     /// Those of processes that ask.
-    suitors: RefCell<BTreeMap<TakeoverConn, Rc<Outbox>>>,
-    next: Cell<u64>,
+    takeovers: RefCell<BTreeMap<TakeoverConn, Rc<Outbox>>>,
+    last_takeover: Cell<u64>,
     /// The file that this process took its place at the meeting point with.
-    own_place: Cell<Option<FileId>>,
+    own_socket: Cell<Option<FileId>>,
     /// Hears those that ask.
-    meeting: RefCell<Option<Task<()>>>,
+    accept_task: RefCell<Option<Task<()>>>,
     /// Rings when the process at the meeting point is to be asked again.
-    again: Bell,
+    ask_again: Notify,
     pub(super) gate: Gate,
     /// Rings when this process has nothing left to do.
-    pub(super) left: Bell,
+    pub(super) finished: Notify,
 }
 
 impl Handover {
     /// Whether another process serves in this one's place.
-    pub(super) fn yielded(&self) -> bool {
-        self.giver.borrow().has_yielded()
+    pub(super) fn has_yielded(&self) -> bool {
+        self.predecessor_role.borrow().has_yielded()
     }
 
     /// What the node has for the other process.
-    pub(super) fn told(self: &Rc<Self>, shared: &Handle, messages: Vec<Message>) {
-        let heir = self.giver.borrow().successor();
-        let suitor = heir.and_then(|heir| self.suitors.borrow().get(&heir).cloned());
+    pub(super) fn send_messages(self: &Rc<Self>, shared: &Handle, messages: Vec<Message>) {
+        let successor = self.predecessor_role.borrow().successor();
+        let takeover = successor.and_then(|successor| self.takeovers.borrow().get(&successor).cloned());
         for message in messages {
-            match (&suitor, message) {
+            match (&takeover, message) {
                 (Some(outbox), message) => outbox.push(encode(&message), None),
                 (None, Message::Left { id }) => {
                     let now = shared.now();
-                    self.as_heir(shared, |heir, out| heir.left(now, id, out));
+                    self.as_successor(shared, |successor, out| successor.left(now, id, out));
                 }
                 _ => {}
             }
         }
     }
 
-    fn give(self: &Rc<Self>, shared: &Handle, acts: Vec<giver::Action>) {
-        for act in acts {
-            match act {
+    fn execute_as_predecessor(self: &Rc<Self>, shared: &Handle, actions: Vec<giver::Action>) {
+        for action in actions {
+            match action {
                 giver::Action::Yield => {
                     info!(event = "yields");
                     self.gate.set(false);
                     step(shared, |node, now, out| node.yield_to_successor(now, out));
-                    shared.executor.spawn(leave(shared.clone(), self.clone())).detach();
+                    shared.executor.spawn(leave_when_idle(shared.clone(), self.clone())).detach();
                 }
                 giver::Action::Resume => {
                     warn!(event = "serves again", reason = "the new process is gone");
@@ -88,30 +88,32 @@
                     listen(shared, self);
                 }
                 giver::Action::Say(to, message) => {
-                    if let Some(outbox) = self.suitors.borrow().get(&to) {
+                    if let Some(outbox) = self.takeovers.borrow().get(&to) {
                         outbox.push(encode(&message), None);
                     }
                 }
                 giver::Action::Left(id) => {
                     step(shared, |node, now, out| node.client_left_at_peer(now, id, out))
                 }
-                giver::Action::Look => shared.executor.spawn(look(shared.clone(), self.clone())).detach(),
-                giver::Action::Leave => self.left.ring(),
+                giver::Action::Look => {
+                    shared.executor.spawn(check_for_other_process(shared.clone(), self.clone())).detach()
+                }
+                giver::Action::Leave => self.finished.notify(),
             }
         }
     }
 
-    fn inherit(self: &Rc<Self>, shared: &Handle, acts: Vec<heir::Action>) {
-        for act in acts {
-            match act {
+    fn execute_as_successor(self: &Rc<Self>, shared: &Handle, actions: Vec<heir::Action>) {
+        for action in actions {
+            match action {
                 heir::Action::Serve => {
                     step(shared, |node, _, _| node.start_serving());
                     self.gate.set(true);
                     info!(event = "serves");
                 }
                 heir::Action::Meet => listen(shared, self),
-                heir::Action::Leave => self.left.ring(),
-                heir::Action::AskAgain => self.again.ring(),
+                heir::Action::Leave => self.finished.notify(),
+                heir::Action::AskAgain => self.ask_again.notify(),
                 heir::Action::TakeTurns => step(shared, |node, now, out| node.take_warm_up_turns(now, out)),
                 heir::Action::Take(passed) => {
                     step(shared, |node, now, out| node.adopt_session(now, &passed, out))
@@ -124,122 +126,127 @@
                     step(shared, |node, now, out| node.handle_forwarded(now, &message, out))
                 }
                 heir::Action::Say(message) => {
-                    if let Some(old) = &*self.old.borrow() {
-                        old.push(encode(&message), None);
+                    if let Some(outbox) = &*self.predecessor_outbox.borrow() {
+                        outbox.push(encode(&message), None);
                     }
                 }
             }
         }
     }
 
-    fn as_heir(self: &Rc<Self>, shared: &Handle, act: impl FnOnce(&mut Successor, &mut Vec<heir::Action>)) {
-        let mut acts = Vec::new();
-        if let Some(heir) = &mut *self.heir.borrow_mut() {
-            act(heir, &mut acts);
+    fn as_successor(
+        self: &Rc<Self>,
+        shared: &Handle,
+        act: impl FnOnce(&mut Successor, &mut Vec<heir::Action>),
+    ) {
+        let mut actions = Vec::new();
+        if let Some(successor) = &mut *self.successor_role.borrow_mut() {
+            act(successor, &mut actions);
         }
-        self.inherit(shared, acts);
+        self.execute_as_successor(shared, actions);
     }
 
-    fn as_giver(
+    fn as_predecessor(
         self: &Rc<Self>,
         shared: &Handle,
         act: impl FnOnce(&mut Predecessor, &mut Vec<giver::Action>),
     ) {
-        let mut acts = Vec::new();
-        act(&mut self.giver.borrow_mut(), &mut acts);
-        self.give(shared, acts);
+        let mut actions = Vec::new();
+        act(&mut self.predecessor_role.borrow_mut(), &mut actions);
+        self.execute_as_predecessor(shared, actions);
     }
 }
 
 /// Once another process serves: asks to leave when nobody waits here, and leaves when it is told to.
-async fn leave(shared: Handle, handover: Rc<Handover>) {
-    while handover.yielded() {
-        let unwritten = shared.boxes.borrow().values().any(|outbox| !outbox.empty());
+async fn leave_when_idle(shared: Handle, handover: Rc<Handover>) {
+    while handover.has_yielded() {
+        let unwritten = shared.outboxes.borrow().values().any(|outbox| !outbox.is_empty());
         // What the process before passes comes by here; it would take this one's end for its heir's death.
-        let passes_by = handover.old.borrow().is_some();
-        let anything = unwritten || passes_by || shared.node.borrow().has_waiting_clients();
-        handover.as_giver(&shared, |giver, out| giver.holds(anything, out));
-        Timer::after(LOOK).await;
+        let relays = handover.predecessor_outbox.borrow().is_some();
+        let is_needed = unwritten || relays || shared.node.borrow().has_waiting_clients();
+        handover.as_predecessor(&shared, |predecessor, out| predecessor.holds(is_needed, out));
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
 /// Finds out whether anybody else is at the meeting point, now that the heir is gone. One that died before it took its
 /// place has left this process's own there.
-async fn look(shared: Handle, handover: Rc<Handover>) {
-    let own = handover.own_place.get();
-    let still_own = || own.is_some() && FileId::of(&handover.path).ok() == own;
-    let nobody = still_own() || matches!(reach(&handover.path).await, Ok(None));
-    handover.as_giver(&shared, |giver, out| giver.looked(!nobody, out));
+async fn check_for_other_process(shared: Handle, handover: Rc<Handover>) {
+    let own = handover.own_socket.get();
+    let is_own = || own.is_some() && FileId::of(&handover.socket_path).ok() == own;
+    let no_other = is_own() || matches!(try_connect(&handover.socket_path).await, Ok(None));
+    handover.as_predecessor(&shared, |predecessor, out| predecessor.looked(!no_other, out));
 }
 
 /// Starts: asks the process before this one, if there is one.
 pub(super) async fn start(shared: Handle, handover: Rc<Handover>) {
-    let most_sessions = step(&shared, |node, _, _| {
+    let max_sessions = step(&shared, |node, _, _| {
         node.await_predecessor();
         node.most_sessions()
     });
-    let heir = Successor::new(shared.now(), handover.started, most_sessions);
-    let until = heir.deadline();
-    *handover.heir.borrow_mut() = Some(heir);
-    let patience = async {
-        Timer::after(micros(until - shared.now())).await;
+    let successor = Successor::new(shared.now(), handover.started, max_sessions);
+    let deadline = successor.deadline();
+    *handover.successor_role.borrow_mut() = Some(successor);
+    let timeout = async {
+        Timer::after(to_duration(deadline - shared.now())).await;
         let now = shared.now();
-        handover.as_heir(&shared, |heir, out| heir.tick(now, out));
+        handover.as_successor(&shared, |successor, out| successor.tick(now, out));
         future::pending::<()>().await;
     };
     let ask = async {
         loop {
-            let stream = match reach(&handover.path).await {
+            let stream = match try_connect(&handover.socket_path).await {
                 Ok(Some(stream)) => stream,
-                Ok(None) => return handover.as_heir(&shared, Successor::alone),
+                Ok(None) => return handover.as_successor(&shared, Successor::alone),
                 Err(_) => {
-                    Timer::after(AGAIN).await;
+                    Timer::after(RETRY_INTERVAL).await;
                     continue;
                 }
             };
-            let outbox = Rc::new(Outbox::new(&shared.queues.servers));
-            *handover.old.borrow_mut() = Some(outbox.clone());
-            handover.as_heir(&shared, Successor::linked);
-            let talk = async {
-                let hear = |message| handover.as_heir(&shared, |heir, out| heir.heard(message, out));
-                let reason = converse(&stream, &outbox, hear).await;
+            let outbox = Rc::new(Outbox::new(&shared.queue_limits.servers));
+            *handover.predecessor_outbox.borrow_mut() = Some(outbox.clone());
+            handover.as_successor(&shared, Successor::linked);
+            let exchange = async {
+                let handle =
+                    |message| handover.as_successor(&shared, |successor, out| successor.heard(message, out));
+                let reason = exchange_messages(&stream, &outbox, handle).await;
                 info!(event = "end", peer = "old process", reason);
-                handover.as_heir(&shared, Successor::ended);
+                handover.as_successor(&shared, Successor::ended);
                 false
             };
-            let told = async {
-                handover.again.heard().await;
+            let told_to_ask_again = async {
+                handover.ask_again.notified().await;
                 true
             };
             // Told while it talked, or at its end.
-            let again = future::or(told, talk).await;
-            *handover.old.borrow_mut() = None;
-            if !again && !handover.again.rung() {
+            let asks_again = future::or(told_to_ask_again, exchange).await;
+            *handover.predecessor_outbox.borrow_mut() = None;
+            if !asks_again && !handover.ask_again.take() {
                 return;
             }
-            Timer::after(AGAIN).await;
+            Timer::after(RETRY_INTERVAL).await;
         }
     };
-    future::or(ask, patience).await;
+    future::or(ask, timeout).await;
 }
 
 impl Handover {
     /// Between the processes that meet there.
-    pub(super) fn new(path: PathBuf) -> Rc<Handover> {
+    pub(super) fn new(socket_path: PathBuf) -> Rc<Handover> {
         let started = super::quorum::boot_now().0;
         Rc::new(Handover {
-            path,
+            socket_path,
             started,
-            giver: RefCell::new(Predecessor::new(started)),
-            heir: RefCell::default(),
-            old: RefCell::default(),
-            suitors: RefCell::default(),
-            next: Cell::default(),
-            own_place: Cell::default(),
-            meeting: RefCell::default(),
-            again: Bell::default(),
+            predecessor_role: RefCell::new(Predecessor::new(started)),
+            successor_role: RefCell::default(),
+            predecessor_outbox: RefCell::default(),
+            takeovers: RefCell::default(),
+            last_takeover: Cell::default(),
+            own_socket: Cell::default(),
+            accept_task: RefCell::default(),
+            ask_again: Notify::default(),
             gate: Gate::default(),
-            left: Bell::default(),
+            finished: Notify::default(),
         })
     }
 }
--- a/src/net/inherit.rs
+++ b/src/net/inherit.rs
@@ -8,15 +8,16 @@
 
 /// Duplicates the inherited descriptor, as the system's number alone is nothing that safe code may own: the process
 /// asks for it as it would ask for another's.
-pub(super) fn listener(number: i32) -> io::Result<TcpListener> {
-    let wrong = |what: &str| {
-        io::Error::new(io::ErrorKind::InvalidInput, format!("LB_SOCKET_FD: descriptor {number}: {what}"))
+pub(super) fn inherited_listener(descriptor: i32) -> io::Result<TcpListener> {
+    let invalid = |what: &str| {
+        io::Error::new(io::ErrorKind::InvalidInput, format!("LB_SOCKET_FD: descriptor {descriptor}: {what}"))
     };
-    let this = pidfd_open(getpid(), PidfdFlags::empty())?;
-    let own = pidfd_getfd(this, number, PidfdGetfdFlags::empty()).map_err(|e| wrong(&e.to_string()))?;
-    match socket_acceptconn(&own) {
-        Ok(true) => Ok(TcpListener::from(own)),
-        Ok(false) => Err(wrong("not a listening socket")),
-        Err(_) => Err(wrong("not a socket")),
+    let process = pidfd_open(getpid(), PidfdFlags::empty())?;
+    let duplicate =
+        pidfd_getfd(process, descriptor, PidfdGetfdFlags::empty()).map_err(|e| invalid(&e.to_string()))?;
+    match socket_acceptconn(&duplicate) {
+        Ok(true) => Ok(TcpListener::from(duplicate)),
+        Ok(false) => Err(invalid("not a listening socket")),
+        Err(_) => Err(invalid("not a socket")),
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -44,39 +44,39 @@
 use crate::platform::links::{Command, ConnId};
 use crate::platform::timings::Timings;
 use crate::roster::{Roster, ShrinkLimit};
-use budget::Budget;
-use clock::{Clock, unix};
-use conns::dial;
-use outbox::{Bell, Outbox};
-use queues::Queues;
-use reading::TURN;
+use budget::DescriptorBudget;
+use clock::{Clock, unix_now};
+use conns::dial_server;
+use outbox::{Notify, Outbox};
+use queues::QueueLimits;
+use reading::READ_BUFFER_BYTES;
 
 struct Shared {
     executor: Rc<LocalExecutor<'static>>,
     node: RefCell<Node>,
-    boxes: RefCell<BTreeMap<ConnId, Rc<Outbox>>>,
+    outboxes: RefCell<BTreeMap<ConnId, Rc<Outbox>>>,
     /// Clients' connections, to be read before anything is sent on their behalf; and the notice board's.
-    clients: RefCell<BTreeMap<ConnId, Rc<Async<TcpStream>>>>,
+    client_streams: RefCell<BTreeMap<ConnId, Rc<Async<TcpStream>>>>,
     board_stream: RefCell<Option<Rc<Async<TcpStream>>>>,
     /// Why the board's connection is over, until that is seen to.
-    board_over: Cell<Option<&'static str>>,
+    board_end_reason: Cell<Option<&'static str>>,
     clock: Clock,
-    bell: Bell,
-    buffer: RefCell<Vec<u8>>,
+    alarm_changed: Notify,
+    read_buffer: RefCell<Vec<u8>>,
     board: RefCell<Board>,
     roster: RefCell<Roster>,
     /// Rings when the list has changed, or when one is held back.
-    listed: Bell,
+    list_changed: Notify,
     /// Where the notice board listens, and the bell that tells of a new address.
-    board_at: Cell<Option<SocketAddr>>,
-    board_moved: Bell,
-    budget: Budget,
-    accepted: Cell<usize>,
-    room: Bell,
+    board_address: Cell<Option<SocketAddr>>,
+    board_address_changed: Notify,
+    budget: DescriptorBudget,
+    client_count: Cell<usize>,
+    client_closed: Notify,
     /// Connections to edge servers that have a descriptor, and the bell that tells of one that ended.
-    linked: Cell<usize>,
-    unlinked: Bell,
-    queues: Queues,
+    server_connection_count: Cell<usize>,
+    server_connection_closed: Notify,
+    queue_limits: QueueLimits,
     /// Time limits that follow from the settings in use.
     timings: Cell<Timings>,
     /// The processes before and after this one, where the platform lets versions follow each other under load.
@@ -85,45 +85,45 @@
 
 type Handle = Rc<Shared>;
 
-fn micros(span: Micros) -> Duration {
-    Duration::from_micros(span.0)
+fn to_duration(micros: Micros) -> Duration {
+    Duration::from_micros(micros.0)
 }
 
 impl Shared {
     fn new(config: &Config, board: Board) -> Handle {
         // Only lists from watched files are ever held back.
         let never = ShrinkLimit { most_dropped: 1.0, hold: Micros(0) };
-        let plausible = config.watch.as_ref().map_or(never, |w| w.plausible);
-        let (node, budget) = (Node::new(config), Budget::new(config.sockets));
+        let shrink_limit = config.watch.as_ref().map_or(never, |w| w.plausible);
+        let (node, budget) = (Node::new(config), DescriptorBudget::new(config.sockets));
         let timings = node.timings();
         Rc::new(Shared {
             executor: Rc::new(LocalExecutor::new()),
             node: RefCell::new(node),
-            boxes: RefCell::new(BTreeMap::new()),
-            clients: RefCell::default(),
+            outboxes: RefCell::new(BTreeMap::new()),
+            client_streams: RefCell::default(),
             board_stream: RefCell::default(),
-            board_over: Cell::default(),
+            board_end_reason: Cell::default(),
             clock: Clock::default(),
-            bell: Bell::default(),
-            buffer: RefCell::new(vec![0; TURN]),
+            alarm_changed: Notify::default(),
+            read_buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
             board: RefCell::new(board),
-            roster: RefCell::new(Roster::new(plausible)),
-            listed: Bell::default(),
-            board_at: Cell::new(config.board),
-            board_moved: Bell::default(),
+            roster: RefCell::new(Roster::new(shrink_limit)),
+            list_changed: Notify::default(),
+            board_address: Cell::new(config.board),
+            board_address_changed: Notify::default(),
             budget,
-            accepted: Cell::new(0),
-            room: Bell::default(),
-            linked: Cell::new(0),
-            unlinked: Bell::default(),
-            queues: Queues::new(config.memory, &budget),
+            client_count: Cell::new(0),
+            client_closed: Notify::default(),
+            server_connection_count: Cell::new(0),
+            server_connection_closed: Notify::default(),
+            queue_limits: QueueLimits::new(config.memory, &budget),
             timings: Cell::new(timings),
             handover: RefCell::default(),
         })
     }
 
     fn now(&self) -> Micros {
-        self.clock.read(unix())
+        self.clock.read(unix_now())
     }
 }
 
@@ -131,7 +131,7 @@
 fn step<T>(shared: &Handle, act: impl FnOnce(&mut Node, Micros, &mut Vec<Command>) -> T) -> T {
     let now = shared.now();
     let mut commands = Vec::new();
-    let (result, lines, told, messages) = {
+    let (result, lines, trace_events, messages) = {
         let mut node = shared.node.borrow_mut();
         if node.has_rules() {
             // Read anew for each step: what is decided after a stall is decided by the moment behind it.
@@ -139,7 +139,7 @@
         }
         (act(&mut node, now, &mut commands), node.take_log(), node.take_trace(), node.take_messages())
     };
-    for (at, event) in told {
+    for (at, event) in trace_events {
         event.write(at.0);
     }
     for line in lines {
@@ -149,49 +149,49 @@
     for command in commands {
         match command {
             Command::Dial(conn, address) => {
-                let outbox = Rc::new(Outbox::new(&shared.queues.servers));
-                shared.boxes.borrow_mut().insert(conn, outbox.clone());
-                let driver = dial(shared.clone(), conn, address, outbox);
+                let outbox = Rc::new(Outbox::new(&shared.queue_limits.servers));
+                shared.outboxes.borrow_mut().insert(conn, outbox.clone());
+                let driver = dial_server(shared.clone(), conn, address, outbox);
                 shared.executor.spawn(driver).detach();
             }
-            Command::Write(conn, bytes, tag) => match shared.boxes.borrow().get(&conn) {
-                Some(outbox) => outbox.push(bytes, tag),
+            Command::Write(conn, bytes, session) => match shared.outboxes.borrow().get(&conn) {
+                Some(outbox) => outbox.push(bytes, session),
                 None => info!(event = "unwritten", conn = conn.0, bytes = bytes.len()),
             },
             Command::WriteSessionEnd(conn, bytes) => {
-                let outbox = shared.boxes.borrow().get(&conn).cloned();
+                let outbox = shared.outboxes.borrow().get(&conn).cloned();
                 match outbox {
-                    Some(outbox) => outbox.push_end(bytes),
+                    Some(outbox) => outbox.push_session_end(bytes),
                     None => info!(event = "unwritten", conn = conn.0, bytes = bytes.len()),
                 }
             }
-            Command::Withdraw(conn, id, behind) => {
-                let outbox = shared.boxes.borrow().get(&conn).cloned();
+            Command::Withdraw(conn, id, release) => {
+                let outbox = shared.outboxes.borrow().get(&conn).cloned();
                 match outbox {
                     Some(outbox) if outbox.withdraw(id) => withdrawn.push((conn, id)),
-                    Some(outbox) => outbox.push_release(behind, id),
+                    Some(outbox) => outbox.push_release(release, id),
                     // Its connection is over, and tells that itself.
                     None => {}
                 }
             }
             Command::Close(conn, reason) => {
-                if let Some(outbox) = shared.boxes.borrow().get(&conn) {
+                if let Some(outbox) = shared.outboxes.borrow().get(&conn) {
                     outbox.close(reason);
                 }
             }
-            Command::CloseIfQuiet(conn, reason) => match shared.boxes.borrow().get(&conn) {
-                Some(outbox) if mutant::on(Mutant::CutAtClose) => outbox.cut(reason),
-                Some(outbox) => outbox.let_go(reason),
+            Command::CloseIfQuiet(conn, reason) => match shared.outboxes.borrow().get(&conn) {
+                Some(outbox) if mutant::on(Mutant::CutAtClose) => outbox.abort(reason),
+                Some(outbox) => outbox.close_if_quiet(reason),
                 None => {}
             },
             Command::LingeringClose(conn, reason) => {
-                if let Some(outbox) = shared.boxes.borrow().get(&conn) {
-                    outbox.leave(reason);
+                if let Some(outbox) = shared.outboxes.borrow().get(&conn) {
+                    outbox.lingering_close(reason);
                 }
             }
             Command::Abort(conn, reason) => {
-                if let Some(outbox) = shared.boxes.borrow().get(&conn) {
-                    outbox.cut(reason);
+                if let Some(outbox) = shared.outboxes.borrow().get(&conn) {
+                    outbox.abort(reason);
                 }
             }
         }
@@ -199,31 +199,31 @@
     if !messages.is_empty() {
         let handover = shared.handover.borrow().clone();
         if let Some(handover) = handover {
-            handover.told(shared, messages);
+            handover.send_messages(shared, messages);
         }
     }
-    withdrawn.into_iter().for_each(|(conn, id)| tell_withdrawn(shared, conn, id));
-    shared.bell.ring();
+    withdrawn.into_iter().for_each(|(conn, id)| report_withdrawn(shared, conn, id));
+    shared.alarm_changed.notify();
     result
 }
 
 /// What a node is let do.
-type Act = Box<dyn FnOnce(&mut Node, Micros, &mut Vec<Command>)>;
+type NodeAction = Box<dyn FnOnce(&mut Node, Micros, &mut Vec<Command>)>;
 
 /// The end of an attempt is written on its connection, or the attempt never left.
-fn tell_withdrawn(shared: &Handle, conn: ConnId, id: SessionId) {
-    let act: Act = Box::new(move |node, now, out| node.withdrawn(now, conn, id, out));
+fn report_withdrawn(shared: &Handle, conn: ConnId, id: SessionId) {
+    let act: NodeAction = Box::new(move |node, now, out| node.withdrawn(now, conn, id, out));
     step(shared, act);
 }
 
-async fn keep_time(shared: Handle) {
+async fn run_timers(shared: Handle) {
     loop {
-        let wait = micros(shared.node.borrow().next_alarm() - shared.now());
+        let wait = to_duration(shared.node.borrow().next_alarm() - shared.now());
         if !wait.is_zero() {
             let timer = async {
                 Timer::after(wait).await;
             };
-            future::or(shared.bell.heard(), timer).await;
+            future::or(shared.alarm_changed.notified(), timer).await;
         }
         // What came meanwhile is heard before what is due: readers that were woken together with this have their turn.
         future::yield_now().await;
--- a/src/net/outbox/bell.rs
+++ b/src/net/outbox/bell.rs
@@ -6,29 +6,29 @@
 
 /// Wakes one waiter; a ring before the wait is not lost.
 #[derive(Debug, Default)]
-pub struct Bell {
-    rung: Cell<bool>,
+pub struct Notify {
+    is_set: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
-impl Bell {
+impl Notify {
     /// Rings it.
-    pub fn ring(&self) {
-        self.rung.set(true);
+    pub fn notify(&self) {
+        self.is_set.set(true);
         if let Some(waker) = self.waker.borrow_mut().take() {
             waker.wake();
         }
     }
 
     /// Whether it rang and nobody has heard it; it is heard with this.
-    pub fn rung(&self) -> bool {
-        self.rung.take()
+    pub fn take(&self) -> bool {
+        self.is_set.take()
     }
 
     /// Waits for the next ring.
-    pub async fn heard(&self) {
+    pub async fn notified(&self) {
         poll_fn(|context| {
-            if self.rung.take() {
+            if self.is_set.take() {
                 return Poll::Ready(());
             }
             *self.waker.borrow_mut() = Some(context.waker().clone());
--- a/src/net/outbox/piece.rs
+++ b/src/net/outbox/piece.rs
@@ -4,7 +4,7 @@
 
 /// What a part is, as far as its fate matters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Mark {
+pub(super) enum MessageKind {
     /// Nothing that is looked for again.
     Plain,
     /// The set-up of a session, or the answer that it stands.
@@ -17,17 +17,17 @@
 
 /// What waits to be written as one.
 #[derive(Debug)]
-pub(super) struct Piece {
+pub(super) struct QueuedMessage {
     pub(super) bytes: Vec<u8>,
-    pub(super) mark: Mark,
+    pub(super) kind: MessageKind,
 }
 
-impl Piece {
+impl QueuedMessage {
     /// The session whose set-up or answer it is.
     pub(super) fn session(&self) -> Option<SessionId> {
-        match self.mark {
-            Mark::Session(id) => Some(id),
-            Mark::Plain | Mark::Withdrawal(_) | Mark::SessionEnd => None,
+        match self.kind {
+            MessageKind::Session(id) => Some(id),
+            MessageKind::Plain | MessageKind::Withdrawal(_) | MessageKind::SessionEnd => None,
         }
     }
 }
--- a/src/net/outbox/withdrawal.rs
+++ b/src/net/outbox/withdrawal.rs
@@ -1,18 +1,18 @@
 //! Set-ups that are taken back, or whose end is written behind them.
 
-use super::piece::{Mark, Piece};
+use super::piece::{MessageKind, QueuedMessage};
 use super::{Outbox, SessionId};
 
 impl Outbox {
     /// Takes a set-up back of which not a byte was written; false if there is none.
     pub fn withdraw(&self, id: SessionId) -> bool {
-        let begun = usize::from(self.offset.get() > 0);
+        let begun = usize::from(self.written_of_first.get() > 0);
         let mut queue = self.queue.borrow_mut();
         let found = (begun..queue.len()).find(|i| queue[*i].session() == Some(id));
-        let Some(piece) = found.and_then(|i| queue.remove(i)) else { return false };
-        self.waiting.sub(piece.bytes.len());
+        let Some(message) = found.and_then(|i| queue.remove(i)) else { return false };
+        self.queued_bytes.sub(message.bytes.len());
         // Where nothing else waits, a close that waited for it is due.
-        self.bell.ring();
+        self.changed.notify();
         true
     }
 
@@ -23,16 +23,16 @@
         if bytes.is_empty() {
             return;
         }
-        self.waiting.add(bytes.len());
-        let begun = usize::from(self.offset.get() > 0);
+        self.queued_bytes.add(bytes.len());
+        let begun = usize::from(self.written_of_first.get() > 0);
         let mut queue = self.queue.borrow_mut();
-        let half_written = begun == 1 && queue.front().is_some_and(|piece| piece.session() == Some(id));
+        let half_written = begun == 1 && queue.front().is_some_and(|message| message.session() == Some(id));
         let next_set_up =
             || (begun..queue.len()).find(|i| queue[*i].session().is_some()).unwrap_or(queue.len());
         let place = if half_written { begun } else { next_set_up() };
-        queue.insert(place, Piece { bytes, mark: Mark::Withdrawal(id) });
+        queue.insert(place, QueuedMessage { bytes, kind: MessageKind::Withdrawal(id) });
         drop(queue);
-        self.cut_if_too_long();
-        self.bell.ring();
+        self.abort_on_overflow();
+        self.changed.notify();
     }
 }
--- a/src/net/queues.rs
+++ b/src/net/queues.rs
@@ -4,64 +4,68 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use super::budget::Budget;
+use super::budget::DescriptorBudget;
 
 /// The part of the memory that what waits for clients may take, twice at the very most: once together, and once by
 /// connections that each stay within their share.
-const CLIENTS_PART: usize = 16;
+const CLIENT_MEMORY_DIVISOR: usize = 16;
 /// The same towards edge servers: the part that the core gives to sessions and their descriptions, as each description
 /// that is held may wait here once more.
-const SERVERS_PART: usize = 4;
+const SERVER_MEMORY_DIVISOR: usize = 4;
 
 /// The bytes that connections of one kind may keep waiting together.
 #[derive(Debug, Default)]
-pub struct Allowance {
-    most: usize,
+pub struct QueueLimit {
+    max_bytes: usize,
     /// One connection's share of that.
-    each: usize,
-    used: Cell<usize>,
+    share_bytes: usize,
+    used_bytes: Cell<usize>,
 }
 
-impl Allowance {
+impl QueueLimit {
     /// So many bytes for so many connections.
-    pub fn new(most: usize, connections: usize) -> Rc<Allowance> {
-        Rc::new(Allowance { most, each: most / connections.max(1), used: Cell::new(0) })
+    pub fn new(max_bytes: usize, connections: usize) -> Rc<QueueLimit> {
+        Rc::new(QueueLimit {
+            max_bytes,
+            share_bytes: max_bytes / connections.max(1),
+            used_bytes: Cell::new(0),
+        })
     }
 }
 
 /// What one connection keeps waiting.
 #[derive(Debug, Default)]
-pub struct Waiting {
-    allowance: Rc<Allowance>,
+pub struct QueuedBytes {
+    limit: Rc<QueueLimit>,
     bytes: Cell<usize>,
 }
 
-impl Waiting {
+impl QueuedBytes {
     /// Nothing yet.
-    pub fn new(allowance: &Rc<Allowance>) -> Waiting {
-        Waiting { allowance: allowance.clone(), bytes: Cell::new(0) }
+    pub fn new(limit: &Rc<QueueLimit>) -> QueuedBytes {
+        QueuedBytes { limit: limit.clone(), bytes: Cell::new(0) }
     }
 
     /// So many bytes more wait.
     pub fn add(&self, bytes: usize) {
         self.bytes.set(self.bytes.get() + bytes);
-        self.allowance.used.set(self.allowance.used.get() + bytes);
+        self.limit.used_bytes.set(self.limit.used_bytes.get() + bytes);
     }
 
     /// So many bytes wait no longer.
     pub fn sub(&self, bytes: usize) {
         let bytes = bytes.min(self.bytes.get());
         self.bytes.set(self.bytes.get() - bytes);
-        self.allowance.used.set(self.allowance.used.get() - bytes);
+        self.limit.used_bytes.set(self.limit.used_bytes.get() - bytes);
     }
 
     /// Whether the allowance is used up, and this connection has more than its share of it.
-    pub fn too_many(&self) -> bool {
-        self.allowance.used.get() > self.allowance.most && self.bytes.get() > self.allowance.each
+    pub fn exceeds_limit(&self) -> bool {
+        self.limit.used_bytes.get() > self.limit.max_bytes && self.bytes.get() > self.limit.share_bytes
     }
 }
 
-impl Drop for Waiting {
+impl Drop for QueuedBytes {
     fn drop(&mut self) {
         self.sub(self.bytes.get());
     }
@@ -69,17 +73,17 @@
 
 /// What may wait for clients, and for edge servers.
 #[derive(Debug)]
-pub(super) struct Queues {
-    pub(super) clients: Rc<Allowance>,
-    pub(super) servers: Rc<Allowance>,
+pub(super) struct QueueLimits {
+    pub(super) clients: Rc<QueueLimit>,
+    pub(super) servers: Rc<QueueLimit>,
 }
 
-impl Queues {
+impl QueueLimits {
     /// For so many bytes of memory in all, and the connections that there are descriptors for.
-    pub(super) fn new(memory: usize, budget: &Budget) -> Queues {
-        Queues {
-            clients: Allowance::new(memory / CLIENTS_PART, budget.clients),
-            servers: Allowance::new(memory / SERVERS_PART, budget.links),
+    pub(super) fn new(memory_bytes: usize, budget: &DescriptorBudget) -> QueueLimits {
+        QueueLimits {
+            clients: QueueLimit::new(memory_bytes / CLIENT_MEMORY_DIVISOR, budget.clients),
+            servers: QueueLimit::new(memory_bytes / SERVER_MEMORY_DIVISOR, budget.servers),
         }
     }
 }
--- a/src/net/quorum.rs
+++ b/src/net/quorum.rs
@@ -19,10 +19,10 @@
 
 pub use commands::{abort, hand_on, propose, read_record, replace, rules, show};
 
-use super::conns::STALLED;
-use super::micros;
-use super::outbox::Bell;
-use super::reading::{TURN, code, within};
+use super::conns::WRITE_TIMEOUT;
+use super::outbox::Notify;
+use super::reading::{READ_BUFFER_BYTES, error_code, with_timeout};
+use super::to_duration;
 use crate::api::Micros;
 use crate::disk::{self, Journal};
 use crate::faults;
@@ -41,15 +41,15 @@
 use crate::rules::standing::{LocalRules, RulesFreshness};
 
 /// A link that doesn't come up within this has failed.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// The shortest wait between looks at what is due, whatever is.
-const SHORTEST: Micros = Micros(2_000);
+const MIN_TIMER_WAIT: Micros = Micros(2_000);
 /// Connections that a voter holds at most: beyond that new ones are closed at once.
-const MOST_CONNECTIONS: usize = 4_096;
+const MAX_CONNECTIONS: usize = 4_096;
 
 /// The clock that runs while the machine sleeps too.
 pub fn boot_now() -> BootTime {
-    let now = real_now();
+    let now = unscaled_boot_now();
     // A trial may have this process's clock run too fast or too slow.
     let rate = faults::injected_value("clock-rate").unwrap_or(1.0);
     BootTime(if rate == 1.0 { now } else { (now as f64 * rate) as u64 })
@@ -59,9 +59,9 @@
 #[derive(Default)]
 struct Link {
     queue: RefCell<Queue>,
-    bell: Bell,
-    end: Bell,
-    ending: Cell<Option<&'static str>>,
+    changed: Notify,
+    end_requested: Notify,
+    end_reason: Cell<Option<&'static str>>,
 }
 
 impl Link {
@@ -69,27 +69,27 @@
         if !self.queue.borrow_mut().push(frame) {
             self.finish("overflow");
         }
-        self.bell.ring();
+        self.changed.notify();
     }
 
     fn finish(&self, reason: &'static str) {
-        if self.ending.get().is_none() {
-            self.ending.set(Some(reason));
+        if self.end_reason.get().is_none() {
+            self.end_reason.set(Some(reason));
         }
-        self.end.ring();
+        self.end_requested.notify();
     }
 }
 
 /// Does something with a link, if it is there.
-fn on(links: &RefCell<BTreeMap<u64, Rc<Link>>>, number: u64, act: impl FnOnce(&Link)) {
+fn with_link(links: &RefCell<BTreeMap<u64, Rc<Link>>>, number: u64, act: impl FnOnce(&Link)) {
     if let Some(link) = links.borrow().get(&number) {
         act(link);
     }
 }
 
-enum Work {
-    Write(u64, Vec<u8>),
-    Rewrite(u64, Vec<u8>),
+enum JournalWrite {
+    Append(u64, Vec<u8>),
+    Replace(u64, Vec<u8>),
 }
 
 /// This process's part in a quorum, on sockets.
@@ -101,41 +101,47 @@
     incarnation: Incarnation,
     /// Voters that are dialled; one that has gone does not come again, as numbers are not.
     dialled: RefCell<BTreeSet<VoterId>>,
-    journal: Option<async_channel::Sender<Work>>,
+    journal: Option<async_channel::Sender<JournalWrite>>,
     record: Option<async_channel::Sender<Job>>,
-    bell: Bell,
+    changed: Notify,
     executor: Rc<LocalExecutor<'static>>,
     /// Frames and bytes that were sent, and syncs of the journal.
     sent: Cell<(u64, u64)>,
     syncs: Cell<u64>,
     /// Tells the module how many fronts there are.
-    fronts: Box<dyn Fn(FleetPosition)>,
+    on_fleet_position: Box<dyn Fn(FleetPosition)>,
     /// Tells the node what it acts on.
-    rules: Box<dyn Fn(LocalRules)>,
+    on_rules: Box<dyn Fn(LocalRules)>,
 }
 
-fn tell(event: &Event) {
+fn log_event(event: &Event) {
     match event {
         Event::Founded => info!(event = "quorum.founded"),
         Event::Votes => info!(event = "quorum.votes"),
         Event::Council(number, names) => {
             let names: Vec<&str> = names.iter().map(|n| n.0.as_str()).collect();
-            info!(event = "quorum.council", number, voters = names.join(","), at = real_now());
+            info!(event = "quorum.council", number, voters = names.join(","), at = unscaled_boot_now());
         }
         Event::Barred(why) => warn!(event = "quorum.no-vote", reason = %why),
         Event::Leads(name, reign) => info!(event = "quorum.leader", leader = name.0.as_str(), reign),
         Event::Took(duty, epoch) => {
-            info!(event = "duty.took", duty = duty.0.as_str(), epoch = epoch.0, at = real_now())
+            info!(event = "duty.took", duty = duty.0.as_str(), epoch = epoch.0, at = unscaled_boot_now())
         }
         Event::Lost(duty, epoch, why) => {
-            info!(event = "duty.lost", duty = duty.0.as_str(), epoch = epoch.0, at = real_now(), why);
+            info!(
+                event = "duty.lost",
+                duty = duty.0.as_str(),
+                epoch = epoch.0,
+                at = unscaled_boot_now(),
+                why
+            );
         }
         Event::Acts(duty, epoch, look) => {
             // The look that allowed it, on the clock as the system has it.
             let at = (look.0 as f64 / faults::injected_value("clock-rate").unwrap_or(1.0)) as u64;
             info!(event = "duty.acts", duty = duty.0.as_str(), epoch = epoch.0, at);
         }
-        Event::Changed(index, change) => changed(*index, change),
+        Event::Changed(index, change) => log_change(*index, change),
         Event::Refused(who, why) => warn!(event = "quorum.refused", who = who.as_str(), reason = %why),
         Event::Sure(sure) => {
             let (state, version, next) = match sure {
@@ -144,20 +150,20 @@
                 RulesFreshness::Between(version, next) => ("between", *version, *next),
                 RulesFreshness::Unsure(version) => ("unsure", *version, 0),
             };
-            info!(event = "rules.sure", state, version, next, at = real_now());
+            info!(event = "rules.sure", state, version, next, at = unscaled_boot_now());
         }
         Event::Unrecorded(epoch, done) => warn!(event = "record.unwritten", epoch = epoch.0, reason = ?done),
     }
 }
 
 /// The boot clock as the system has it, for the log.
-fn real_now() -> u64 {
+fn unscaled_boot_now() -> u64 {
     let now = clock_gettime(ClockId::Boottime);
     now.tv_sec as u64 * 1_000_000 + now.tv_nsec as u64 / 1_000
 }
 
-fn changed(index: u64, change: &Change) {
-    let at = real_now();
+fn log_change(index: u64, change: &Change) {
+    let at = unscaled_boot_now();
     match change {
         Change::Granted(duty, lease) => {
             let (duty, holder, run) =
@@ -183,7 +189,7 @@
 }
 
 /// Opens a voter's folder; a torn tail is cut off.
-fn open(folder: &Path) -> Result<(Journal, Option<journal::Read>), Barred> {
+fn open_journal(folder: &Path) -> Result<(Journal, Option<journal::Read>), Barred> {
     let disk =
         |e: io::Error| Barred::Folder(Unusable::Disk(format!("{}: {e}", folder.display())).to_string());
     let (mut journal, bytes) = Journal::open(folder).map_err(disk)?;
@@ -200,21 +206,21 @@
 /// Begins this process's part.
 pub fn start(
     executor: &Rc<LocalExecutor<'static>>,
-    setup: &QuorumConfig,
+    config: &QuorumConfig,
     incarnation: Incarnation,
-    fronts: Box<dyn Fn(FleetPosition)>,
-    rules: Box<dyn Fn(LocalRules)>,
+    on_fleet_position: Box<dyn Fn(FleetPosition)>,
+    on_rules: Box<dyn Fn(LocalRules)>,
 ) -> io::Result<Rc<Quorum>> {
     #[cfg(feature = "trials")]
     mutant::choose(mutant::of_environment());
-    let (to_us, from_disk) = async_channel::unbounded::<Input>();
+    let (input_sender, input_receiver) = async_channel::unbounded::<Input>();
     let mut opened = None;
     let mut journal = None;
-    if let Some(folder) = &setup.folder {
-        opened = Some(match open(folder) {
+    if let Some(folder) = &config.folder {
+        opened = Some(match open_journal(folder) {
             Ok((file, read)) => {
                 let (sender, work) = async_channel::unbounded();
-                let answers = to_us.clone();
+                let answers = input_sender.clone();
                 std::thread::Builder::new()
                     .name("quorum".into())
                     .spawn(move || write_journal(file, &work, &answers))?;
@@ -224,19 +230,19 @@
             Err(why) => Err(why),
         });
     }
-    let record = match &setup.record {
+    let record = match &config.record {
         None => None,
         Some(folder) => {
             let (sender, work) = async_channel::unbounded();
             let folder = folder.clone();
             std::thread::Builder::new()
                 .name("record".into())
-                .spawn(move || write_record(&folder, &work, &to_us))?;
+                .spawn(move || write_record(&folder, &work, &input_sender))?;
             Some(sender)
         }
     };
     let mut out = Vec::new();
-    let machine = Machine::new(setup, incarnation, opened, boot_now(), &mut out);
+    let machine = Machine::new(config, incarnation, opened, boot_now(), &mut out);
     let quorum = Rc::new(Quorum {
         machine: RefCell::new(machine),
         links: RefCell::default(),
@@ -246,33 +252,33 @@
         dialled: RefCell::default(),
         journal,
         record,
-        bell: Bell::default(),
+        changed: Notify::default(),
         executor: executor.clone(),
         sent: Cell::new((0, 0)),
         syncs: Cell::new(0),
-        fronts,
-        rules,
+        on_fleet_position,
+        on_rules,
     });
-    if let Some(address) = setup.listen {
+    if let Some(address) = config.listen {
         let listener = Async::<TcpListener>::bind(address).map_err(|e| {
             io::Error::new(e.kind(), format!("quorum.listen: can't listen on {address}: {e}"))
         })?;
         let address = listener.get_ref().local_addr()?;
-        info!(event = "listens", name = setup.name.0.as_str(), address = %address, front = "quorum");
-        executor.spawn(accept(quorum.clone(), listener)).detach();
+        info!(event = "listens", name = config.name.0.as_str(), address = %address, front = "quorum");
+        executor.spawn(accept_members(quorum.clone(), listener)).detach();
     }
     quorum.carry_out(out);
-    executor.spawn(keep_time(quorum.clone())).detach();
-    let of_disk = quorum.clone();
-    let answers = async move {
-        while let Ok(input) = from_disk.recv().await {
+    executor.spawn(run_timers(quorum.clone())).detach();
+    let handle = quorum.clone();
+    let handle_inputs = async move {
+        while let Ok(input) = input_receiver.recv().await {
             if matches!(input, Input::Written(_)) {
-                of_disk.syncs.set(of_disk.syncs.get() + 1);
+                handle.syncs.set(handle.syncs.get() + 1);
             }
-            of_disk.step(input);
+            handle.step(input);
         }
     };
-    executor.spawn(answers).detach();
+    executor.spawn(handle_inputs).detach();
     Ok(quorum)
 }
 
@@ -282,7 +288,7 @@
         // The time is read after the input was, so that nothing is judged by a moment before it.
         self.machine.borrow_mut().handle(boot_now(), input, &mut out);
         self.carry_out(out);
-        self.bell.ring();
+        self.changed.notify();
     }
 
     /// This process gives back what it holds.
@@ -291,9 +297,9 @@
     }
 
     /// What the broker counts.
-    pub fn count(self: &Rc<Self>, counts: Counts) {
+    pub fn report_counts(self: &Rc<Self>, counts: Counts) {
         if faults::injected("tell-counts") {
-            self.tell_counts();
+            self.log_counts();
         }
         self.step(Input::Counts(counts));
     }
@@ -301,48 +307,48 @@
     fn carry_out(self: &Rc<Self>, out: Vec<Out>) {
         for out in out {
             match out {
-                Out::Send(voter, frame) => on(&self.links, voter, |link| link.push(&frame)),
+                Out::Send(voter, frame) => with_link(&self.links, voter, |link| link.push(&frame)),
                 Out::Dial(voter, address) => {
                     let seed = self.incarnation.0 ^ voter << 48;
                     self.dialled.borrow_mut().insert(voter);
-                    self.executor.spawn(dial(self.clone(), voter, address, seed)).detach();
+                    self.executor.spawn(dial_voter(self.clone(), voter, address, seed)).detach();
                 }
                 Out::Leave(voter) => {
                     self.dialled.borrow_mut().remove(&voter);
-                    on(&self.links, voter, |link| link.finish("replaced"));
+                    with_link(&self.links, voter, |link| link.finish("replaced"));
                 }
-                Out::Redial(voter, reason) => on(&self.links, voter, |link| link.finish(reason)),
-                Out::Reply(conn, frame) => on(&self.conns, conn, |link| link.push(&frame)),
-                Out::Close(conn, reason) => on(&self.conns, conn, |link| link.finish(reason)),
-                Out::Write(number, bytes) => self.work(Work::Write(number, bytes)),
-                Out::Rewrite(number, bytes) => self.work(Work::Rewrite(number, bytes)),
+                Out::Redial(voter, reason) => with_link(&self.links, voter, |link| link.finish(reason)),
+                Out::Reply(conn, frame) => with_link(&self.conns, conn, |link| link.push(&frame)),
+                Out::Close(conn, reason) => with_link(&self.conns, conn, |link| link.finish(reason)),
+                Out::Write(number, bytes) => self.write_to_journal(JournalWrite::Append(number, bytes)),
+                Out::Rewrite(number, bytes) => self.write_to_journal(JournalWrite::Replace(number, bytes)),
                 Out::Record(job) => {
                     if let Some(record) = &self.record {
                         let _ = record.try_send(job);
                     }
                 }
-                Out::FleetPosition(fronts) => {
-                    info!(event = "quorum.fronts", count = fronts.count, place = fronts.place);
-                    (self.fronts)(fronts);
+                Out::FleetPosition(position) => {
+                    info!(event = "quorum.fronts", count = position.count, place = position.place);
+                    (self.on_fleet_position)(position);
                 }
-                Out::Rules(standing) => (self.rules)(standing),
-                Out::Tell(event) => tell(&event),
+                Out::Rules(rules) => (self.on_rules)(rules),
+                Out::Tell(event) => log_event(&event),
             }
         }
     }
 
     /// What a trial measures: frames and bytes sent, syncs, and this process's processor time in microseconds.
-    fn tell_counts(&self) {
+    fn log_counts(&self) {
         let processor = clock_gettime(ClockId::ProcessCPUTime);
         let processor = processor.tv_sec as u64 * 1_000_000 + processor.tv_nsec as u64 / 1_000;
         let (sent, sent_bytes) = self.sent.get();
         info!(event = "quorum.counts", sent, sent_bytes, syncs = self.syncs.get(), processor);
     }
 
-    fn work(&self, work: Work) {
+    fn write_to_journal(&self, write: JournalWrite) {
         if let Some(journal) = &self.journal {
             // The thread ends only after it said that the disk failed.
-            let _ = journal.try_send(work);
+            let _ = journal.try_send(write);
         }
     }
 }
@@ -350,7 +356,7 @@
 /// The journal's thread: what waits together is synced together.
 fn write_journal(
     mut file: Journal,
-    work: &async_channel::Receiver<Work>,
+    work: &async_channel::Receiver<JournalWrite>,
     answers: &async_channel::Sender<Input>,
 ) {
     while let Ok(first) = work.recv_blocking() {
@@ -358,18 +364,18 @@
         while let Ok(more) = work.try_recv() {
             batch.push(more);
         }
-        let mut last = 0;
-        let mut put = |work: Work| {
-            let (number, put) = match work {
-                Work::Write(number, bytes) => (number, file.append(&bytes)),
-                Work::Rewrite(number, bytes) => (number, file.replace(&bytes)),
+        let mut last_number = 0;
+        let mut write = |write: JournalWrite| {
+            let (number, result) = match write {
+                JournalWrite::Append(number, bytes) => (number, file.append(&bytes)),
+                JournalWrite::Replace(number, bytes) => (number, file.replace(&bytes)),
             };
-            last = number;
-            put
+            last_number = number;
+            result
         };
-        let written = batch.into_iter().try_for_each(&mut put).and_then(|()| file.sync());
+        let written = batch.into_iter().try_for_each(&mut write).and_then(|()| file.sync());
         let answer = match written {
-            Ok(()) => Input::Written(last),
+            Ok(()) => Input::Written(last_number),
             // What is on disk now nobody can say: this voter says nothing more.
             Err(error) => Input::DiskFailed(format!("the journal can't be written: {error}")),
         };
@@ -421,24 +427,24 @@
         use std::io::Write as _;
         std::fs::OpenOptions::new().append(true).open(&path)?.write_all(&job.line)?;
     }
-    let (epoch, real) = (job.epoch.0, real_now());
+    let (epoch, real) = (job.epoch.0, unscaled_boot_now());
     if cfg!(feature = "trials") {
         info!(event = "record.wrote", epoch, at = real);
     }
     Ok(Done::Written)
 }
 
-async fn keep_time(quorum: Rc<Quorum>) {
+async fn run_timers(quorum: Rc<Quorum>) {
     loop {
         let wait = quorum.machine.borrow().next().since(boot_now());
-        if wait > SHORTEST {
+        if wait > MIN_TIMER_WAIT {
             let timer = async {
-                Timer::after(micros(wait)).await;
+                Timer::after(to_duration(wait)).await;
             };
-            future::or(quorum.bell.heard(), timer).await;
+            future::or(quorum.changed.notified(), timer).await;
         } else {
             // Whatever is said to be due, others have their turn first.
-            Timer::after(micros(SHORTEST)).await;
+            Timer::after(to_duration(MIN_TIMER_WAIT)).await;
         }
         if quorum.machine.borrow().next() <= boot_now() {
             quorum.step(Input::Tick);
@@ -446,18 +452,18 @@
     }
 }
 
-async fn accept(quorum: Rc<Quorum>, listener: Async<TcpListener>) {
+async fn accept_members(quorum: Rc<Quorum>, listener: Async<TcpListener>) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                if quorum.conns.borrow().len() >= MOST_CONNECTIONS {
+                if quorum.conns.borrow().len() >= MAX_CONNECTIONS {
                     continue;
                 }
-                quorum.executor.spawn(called(quorum.clone(), stream, peer)).detach();
+                quorum.executor.spawn(serve_member(quorum.clone(), stream, peer)).detach();
                 future::yield_now().await;
             }
             Err(error) => {
-                warn!(event = "accept failed", reason = code(&error));
+                warn!(event = "accept failed", reason = error_code(&error));
                 Timer::after(Duration::from_millis(20)).await;
             }
         }
@@ -465,39 +471,39 @@
 }
 
 /// One connection that was accepted.
-async fn called(quorum: Rc<Quorum>, stream: Async<TcpStream>, peer: SocketAddr) {
+async fn serve_member(quorum: Rc<Quorum>, stream: Async<TcpStream>, peer: SocketAddr) {
     let (conn, link) = (quorum.next_conn.get(), Rc::new(Link::default()));
     quorum.next_conn.set(conn + 1);
     quorum.conns.borrow_mut().insert(conn, link.clone());
     quorum.step(Input::Accepted(conn));
-    let heard = |frame: Result<Frame, frame::FrameError>| match frame {
+    let handle_frame = |frame: Result<Frame, frame::FrameError>| match frame {
         Ok(frame) => quorum.step(Input::Called(conn, frame)),
         Err(why) => quorum.step(Input::FrameError(conn, why)),
     };
-    let reason = drive(&stream, &link, &quorum.sent, heard).await;
+    let reason = drive(&stream, &link, &quorum.sent, handle_frame).await;
     quorum.conns.borrow_mut().remove(&conn);
     quorum.step(Input::Hung(conn));
     info!(event = "end", peer = %format_args!("member:{peer}"), reason);
 }
 
 /// The link to a voter, dialled again whenever it ends.
-async fn dial(quorum: Rc<Quorum>, voter: VoterId, address: SocketAddr, seed: u64) {
+async fn dial_voter(quorum: Rc<Quorum>, voter: VoterId, address: SocketAddr, seed: u64) {
     let mut backoff = Backoff::new(seed);
     while quorum.dialled.borrow().contains(&voter) {
-        if let Ok(stream) = within(CONNECT, Async::<TcpStream>::connect(address)).await {
+        if let Ok(stream) = with_timeout(CONNECT_TIMEOUT, Async::<TcpStream>::connect(address)).await {
             let _ = stream.get_ref().set_nodelay(true);
             let link = Rc::new(Link::default());
             quorum.links.borrow_mut().insert(voter, link.clone());
             quorum.step(Input::Up(voter));
             let mut welcomed = false;
-            let heard = |frame: Result<Frame, frame::FrameError>| match frame {
+            let handle_frame = |frame: Result<Frame, frame::FrameError>| match frame {
                 Ok(frame) => {
                     welcomed |= matches!(frame, Frame::Welcome(..));
                     quorum.step(Input::Answer(voter, frame));
                 }
                 Err(why) => link.finish(why.code()),
             };
-            let reason = drive(&stream, &link, &quorum.sent, heard).await;
+            let reason = drive(&stream, &link, &quorum.sent, handle_frame).await;
             quorum.links.borrow_mut().remove(&voter);
             quorum.step(Input::Down(voter));
             info!(event = "end", peer = %format_args!("voter:{address}"), reason, dropped = link.queue.borrow().dropped());
@@ -505,7 +511,7 @@
                 backoff.went_well();
             }
         }
-        Timer::after(micros(backoff.failed())).await;
+        Timer::after(to_duration(backoff.failed())).await;
     }
 }
 
@@ -514,23 +520,23 @@
     stream: &Async<TcpStream>,
     link: &Link,
     sent: &Cell<(u64, u64)>,
-    mut heard: impl FnMut(Result<Frame, frame::FrameError>),
+    mut handle_frame: impl FnMut(Result<Frame, frame::FrameError>),
 ) -> &'static str {
     let read = async {
-        let (mut reader, mut buffer) = (Reader::default(), vec![0; TURN]);
+        let (mut reader, mut buffer) = (Reader::default(), vec![0; READ_BUFFER_BYTES]);
         loop {
             let n = match stream.read_with(|mut s| s.read(&mut buffer)).await {
                 Ok(0) => return "end-of-stream",
                 Ok(n) => n,
-                Err(error) => return code(&error),
+                Err(error) => return error_code(&error),
             };
             reader.feed(&buffer[..n]);
             loop {
                 match reader.take() {
                     Ok(None) => break,
-                    Ok(Some(frame)) => heard(Ok(frame)),
+                    Ok(Some(frame)) => handle_frame(Ok(frame)),
                     Err(why) => {
-                        heard(Err(why));
+                        handle_frame(Err(why));
                         // Why it ends is still on its way out.
                         Timer::after(Duration::from_millis(50)).await;
                         return why.code();
@@ -542,29 +548,29 @@
     };
     let write = async {
         let mut writer = stream;
-        if within(STALLED, writer.write_all(&frame::preface())).await.is_err() {
+        if with_timeout(WRITE_TIMEOUT, writer.write_all(&frame::preface())).await.is_err() {
             return "stalled";
         }
         loop {
             let next = link.queue.borrow_mut().pop();
             let Some(bytes) = next else {
-                if let Some(reason) = link.ending.get() {
+                if let Some(reason) = link.end_reason.get() {
                     return reason;
                 }
-                link.bell.heard().await;
+                link.changed.notified().await;
                 continue;
             };
-            if let Err(error) = within(STALLED, writer.write_all(&bytes)).await {
-                return code(&error);
+            if let Err(error) = with_timeout(WRITE_TIMEOUT, writer.write_all(&bytes)).await {
+                return error_code(&error);
             }
             sent.set((sent.get().0 + 1, sent.get().1 + bytes.len() as u64));
         }
     };
     let end = async {
-        link.end.heard().await;
+        link.end_requested.notified().await;
         // What was queued before the end has a moment to leave, then it is over.
         Timer::after(Duration::from_millis(50)).await;
-        link.ending.get().unwrap_or("ended")
+        link.end_reason.get().unwrap_or("ended")
     };
     future::or(future::or(read, write), end).await
 }
--- a/src/net/quorum/commands.rs
+++ b/src/net/quorum/commands.rs
@@ -9,8 +9,8 @@
 use async_io::Async;
 use futures_lite::AsyncWriteExt as _;
 
-use super::super::clock::unix;
-use super::super::reading::{TURN, within};
+use super::super::clock::unix_now;
+use super::super::reading::{READ_BUFFER_BYTES, with_timeout};
 use crate::disk;
 use crate::quorum::council::ReplaceError;
 use crate::quorum::frame::{self, Frame, Hello, Reader};
@@ -20,7 +20,7 @@
 use crate::rules::version::{Fate, Proposal, ProposeError, Version};
 
 /// How long a command waits for an answer.
-const COMMAND: Duration = Duration::from_secs(3);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Asks one process and reads frames until one is an answer.
 async fn ask<T>(
@@ -29,14 +29,14 @@
     frame: &Frame,
     answer: impl Fn(Frame) -> Option<T>,
 ) -> io::Result<T> {
-    let work = async {
+    let exchange = async {
         let mut stream = Async::<TcpStream>::connect(address).await?;
         let mut bytes = frame::preface();
         for frame in [&Frame::Hello(hello.clone()), frame] {
             bytes.extend(frame::encode(frame).unwrap_or_default());
         }
         stream.write_all(&bytes).await?;
-        let (mut reader, mut buffer) = (Reader::default(), vec![0; TURN]);
+        let (mut reader, mut buffer) = (Reader::default(), vec![0; READ_BUFFER_BYTES]);
         loop {
             let n = stream.read_with(|mut s| s.read(&mut buffer)).await?;
             if n == 0 {
@@ -55,41 +55,41 @@
             }
         }
     };
-    within(COMMAND, work).await
+    with_timeout(ANSWER_TIMEOUT, exchange).await
 }
 
-fn hello(setup: &QuorumConfig) -> Hello {
+fn hello(config: &QuorumConfig) -> Hello {
     Hello {
-        cluster: setup.cluster.clone(),
+        cluster: config.cluster.clone(),
         process: None,
-        voters: setup.voter_names(),
+        voters: config.voter_names(),
         council: 0,
         papers: None,
     }
 }
 
 /// Processes that keep a log, in the order in which a command asks them: this one first, if it does.
-fn asked(setup: &QuorumConfig) -> Vec<(String, SocketAddr)> {
-    let own = |v: &&Voter| v.name == setup.name;
+fn processes_to_ask(config: &QuorumConfig) -> Vec<(String, SocketAddr)> {
+    let is_own = |v: &&Voter| v.name == config.name;
     let address = |v: &Voter| {
-        (v.name.0.clone(), if v.name == setup.name { setup.listen.unwrap_or(v.address) } else { v.address })
+        (v.name.0.clone(), if v.name == config.name { config.listen.unwrap_or(v.address) } else { v.address })
     };
-    let all = || setup.voters.iter().chain(&setup.spares);
-    all().filter(own).chain(all().filter(|v| !own(v))).map(address).collect()
+    let all = || config.voters.iter().chain(&config.spares);
+    all().filter(is_own).chain(all().filter(|v| !is_own(v))).map(address).collect()
 }
 
 /// What one process answered: the leader's word, or why it is not that.
-type Answered<T> = Result<T, String>;
+type LeaderAnswer<T> = Result<T, String>;
 
 /// Asks one process after another until one answers as the leader does: its name and the answer; else what each said.
 fn ask_leader<T>(
-    setup: &QuorumConfig,
+    config: &QuorumConfig,
     frame: &Frame,
-    answer: impl Fn(Frame) -> Option<Answered<T>>,
+    answer: impl Fn(Frame) -> Option<LeaderAnswer<T>>,
 ) -> Result<(String, T), String> {
     let mut problems = Vec::new();
-    for (name, address) in asked(setup) {
-        match async_io::block_on(ask(address, &hello(setup), frame, &answer)) {
+    for (name, address) in processes_to_ask(config) {
+        match async_io::block_on(ask(address, &hello(config), frame, &answer)) {
             Ok(Ok(done)) => return Ok((name, done)),
             Ok(Err(why)) => problems.push(format!("{name}: {why}")),
             Err(error) => problems.push(format!("{name} ({address}): {error}")),
@@ -101,19 +101,19 @@
 /// Asks one process after another how things stand, until one answers that a majority vouches for; else the best of
 /// what was answered.
 fn ask_best<T>(
-    setup: &QuorumConfig,
+    config: &QuorumConfig,
     frame: &Frame,
     answer: impl Fn(Frame) -> Option<T>,
-    vouched: impl Fn(&T) -> bool,
-    better: impl Fn(&T, &T) -> bool,
+    is_confirmed: impl Fn(&T) -> bool,
+    is_newer: impl Fn(&T, &T) -> bool,
 ) -> Result<T, String> {
     let (mut found, mut problems) = (None::<T>, Vec::new());
-    for (name, address) in asked(setup) {
-        match async_io::block_on(ask(address, &hello(setup), frame, &answer)) {
-            Ok(status) if vouched(&status) => return Ok(status),
+    for (name, address) in processes_to_ask(config) {
+        match async_io::block_on(ask(address, &hello(config), frame, &answer)) {
+            Ok(status) if is_confirmed(&status) => return Ok(status),
             Ok(status) => {
                 found = match found {
-                    Some(known) if !better(&status, &known) => Some(known),
+                    Some(known) if !is_newer(&status, &known) => Some(known),
                     _ => Some(status),
                 };
             }
@@ -124,32 +124,32 @@
 }
 
 /// How things stand, told by the leader where one is known, else by the first voter that answers.
-pub fn show(setup: &QuorumConfig) -> Result<Status, String> {
+pub fn show(config: &QuorumConfig) -> Result<Status, String> {
     let answer = |frame: Frame| match frame {
         Frame::Status(status) => Some(*status),
         _ => None,
     };
-    let better = |new: &Status, known: &Status| {
+    let is_newer = |new: &Status, known: &Status| {
         known.barred.is_some() || (new.council, new.version) > (known.council, known.version)
     };
-    ask_best(setup, &Frame::Show, answer, |status| status.confirmed, better)
+    ask_best(config, &Frame::Show, answer, |status| status.confirmed, is_newer)
 }
 
 /// Asks the leader to have a duty handed on.
-pub fn hand_on(setup: &QuorumConfig, duty: &str) -> Result<(), String> {
-    let no = || format!("does not lead, or nobody holds {duty}");
+pub fn hand_on(config: &QuorumConfig, duty: &str) -> Result<(), String> {
+    let refusal = || format!("does not lead, or nobody holds {duty}");
     let answer = |frame: Frame| match frame {
-        Frame::HandingOn(done, _) => Some(if done { Ok(()) } else { Err(no()) }),
+        Frame::HandingOn(done, _) => Some(if done { Ok(()) } else { Err(refusal()) }),
         _ => None,
     };
-    ask_leader(setup, &Frame::HandOn(Duty(duty.to_owned())), answer).map(|_| ())
+    ask_leader(config, &Frame::HandOn(Duty(duty.to_owned())), answer).map(|_| ())
 }
 
 /// How long a command waits for a change of voters to be through.
-const THROUGH: Duration = Duration::from_secs(30);
+const COMPLETION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Has a voter replaced by a process that offers itself, and waits until the new voters have a leader.
-pub fn replace(setup: &QuorumConfig, gone: &str, new: &str) -> Result<Status, String> {
+pub fn replace(config: &QuorumConfig, gone: &str, new: &str) -> Result<Status, String> {
     let frame = Frame::Replace(Name(gone.to_owned()), Name(new.to_owned()));
     // Whatever else the leader says, whoever else is asked does not know better.
     let answer = |frame: Frame| match frame {
@@ -157,11 +157,11 @@
         Frame::Replacing(done) => Some(Ok(done)),
         _ => None,
     };
-    let (name, done) = ask_leader(setup, &frame, answer)?;
+    let (name, done) = ask_leader(config, &frame, answer)?;
     let number = done.map_err(|why| format!("{name}: {why}"))?;
-    let until = Instant::now() + THROUGH;
-    while Instant::now() < until {
-        if let Ok(status) = show(setup)
+    let deadline = Instant::now() + COMPLETION_TIMEOUT;
+    while Instant::now() < deadline {
+        if let Ok(status) = show(config)
             && status.council >= number
             && status.confirmed
         {
@@ -173,33 +173,33 @@
 }
 
 /// The rules, told by the leader where one is known, else by the first that answers.
-pub fn rules(setup: &QuorumConfig) -> Result<RulesStatus, String> {
+pub fn rules(config: &QuorumConfig) -> Result<RulesStatus, String> {
     let answer = |frame: Frame| match frame {
         Frame::RulesAre(status) => Some(*status),
         _ => None,
     };
-    let better = |new: &RulesStatus, known: &RulesStatus| new.ruled.last > known.ruled.last;
-    ask_best(setup, &Frame::Rules, answer, |status| status.confirmed, better)
+    let is_newer = |new: &RulesStatus, known: &RulesStatus| new.ruled.last > known.ruled.last;
+    ask_best(config, &Frame::Rules, answer, |status| status.confirmed, is_newer)
 }
 
 /// Proposes a document of rules; with `wait` until it is in force. Gives its number.
-pub fn propose(setup: &QuorumConfig, proposal: &Proposal, wait: bool) -> Result<u64, String> {
-    let at_ms = unix().0 / 1_000;
+pub fn propose(config: &QuorumConfig, proposal: &Proposal, wait: bool) -> Result<u64, String> {
+    let at_ms = unix_now().0 / 1_000;
     let frame = Frame::Propose(Box::new(Proposal { at_ms, ..proposal.clone() }));
     let answer = |frame: Frame| match frame {
         Frame::Proposed(Err(why @ ProposeError::NotLeading)) => Some(Err(why.to_string())),
         Frame::Proposed(done) => Some(Ok(done)),
         _ => None,
     };
-    let (_, done) = ask_leader(setup, &frame, answer)?;
+    let (_, done) = ask_leader(config, &frame, answer)?;
     let number = done.map_err(|why| why.to_string())?;
-    if wait { in_force(setup, number, &Version::digest_of(&proposal.text)) } else { Ok(number) }
+    if wait { wait_until_in_force(config, number, &Version::digest_of(&proposal.text)) } else { Ok(number) }
 }
 
-fn in_force(setup: &QuorumConfig, number: u64, digest: &str) -> Result<u64, String> {
-    let until = Instant::now() + THROUGH;
-    while Instant::now() < until {
-        if let Ok(status) = rules(setup)
+fn wait_until_in_force(config: &QuorumConfig, number: u64, digest: &str) -> Result<u64, String> {
+    let deadline = Instant::now() + COMPLETION_TIMEOUT;
+    while Instant::now() < deadline {
+        if let Ok(status) = rules(config)
             && status.ruled.last >= number
         {
             let ruled = &status.ruled;
@@ -225,13 +225,13 @@
 }
 
 /// Has the announced version withdrawn.
-pub fn abort(setup: &QuorumConfig, number: u64) -> Result<(), String> {
-    let no = || format!("does not lead, or version {number} is not announced");
+pub fn abort(config: &QuorumConfig, number: u64) -> Result<(), String> {
+    let refusal = || format!("does not lead, or version {number} is not announced");
     let answer = |frame: Frame| match frame {
-        Frame::Aborting(done) => Some(if done { Ok(()) } else { Err(no()) }),
+        Frame::Aborting(done) => Some(if done { Ok(()) } else { Err(refusal()) }),
         _ => None,
     };
-    ask_leader(setup, &Frame::Abort(number), answer).map(|_| ())
+    ask_leader(config, &Frame::Abort(number), answer).map(|_| ())
 }
 
 /// The fleet's record, joined from the files of a folder.
--- a/src/net/reading.rs
+++ b/src/net/reading.rs
@@ -11,39 +11,39 @@
 use super::Handle;
 
 /// Bytes that one connection may bring in one turn, before the others have theirs.
-pub(super) const TURN: usize = 16 * 1024;
+pub(super) const READ_BUFFER_BYTES: usize = 16 * 1024;
 /// Bytes read of one peer at most without waiting: one that sends without a pause is not waited for.
-const MAX_READ: usize = 8 * TURN;
+const MAX_READ_BYTES: usize = 8 * READ_BUFFER_BYTES;
 
 /// Reads what lies there, without waiting; `hear` gets it and says whether to go on. Gives the reason's code if the
 /// peer has gone.
-pub(super) fn read_now(
+pub(super) fn read_available(
     shared: &Handle,
     stream: &Async<TcpStream>,
-    mut hear: impl FnMut(&[u8]) -> bool,
+    mut handle: impl FnMut(&[u8]) -> bool,
 ) -> Option<&'static str> {
-    let mut remaining = MAX_READ;
+    let mut remaining = MAX_READ_BYTES;
     while remaining > 0 {
         // The descriptor is in non-blocking mode.
-        let read = stream.get_ref().read(&mut shared.buffer.borrow_mut());
+        let read = stream.get_ref().read(&mut shared.read_buffer.borrow_mut());
         match read {
             Ok(0) => return Some("end-of-stream"),
             Ok(n) => {
                 remaining = remaining.saturating_sub(n);
-                if !hear(&shared.buffer.borrow()[..n]) {
+                if !handle(&shared.read_buffer.borrow()[..n]) {
                     return None;
                 }
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return None,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-            Err(error) => return Some(code(&error)),
+            Err(error) => return Some(error_code(&error)),
         }
     }
     None
 }
 
 /// The code of an I/O error in the log, such as `reset`.
-pub(super) fn code(error: &io::Error) -> &'static str {
+pub(super) fn error_code(error: &io::Error) -> &'static str {
     match error.kind() {
         io::ErrorKind::ConnectionReset => "reset",
         io::ErrorKind::BrokenPipe => "broken-pipe",
@@ -54,9 +54,12 @@
 }
 
 /// Does some work, or gives [`io::ErrorKind::TimedOut`] after a span of time.
-pub(super) async fn within<T>(span: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+pub(super) async fn with_timeout<T>(
+    timeout: Duration,
+    work: impl Future<Output = io::Result<T>>,
+) -> io::Result<T> {
     future::or(work, async {
-        Timer::after(span).await;
+        Timer::after(timeout).await;
         Err(io::ErrorKind::TimedOut.into())
     })
     .await
--- a/src/net/registry.rs
+++ b/src/net/registry.rs
@@ -9,18 +9,18 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use tracing::warn;
 
-use super::outbox::Bell;
-use super::reading::{code, within};
-use super::{Handle, files, micros};
+use super::outbox::Notify;
+use super::reading::{error_code, with_timeout};
+use super::{Handle, files, to_duration};
 use crate::eureka::{self, Call, Eureka};
 use crate::http::client;
 use crate::roster::Source;
 
 /// A call to the registry that takes longer has failed.
-const CALL: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// One call to the registry, on a connection of its own.
-async fn call(shared: &Handle, registry: &mut Eureka, call: Call) {
+async fn send_call(shared: &Handle, registry: &mut Eureka, call: Call) {
     let address = registry.address();
     let work = async {
         let mut stream = Async::<TcpStream>::connect(address).await?;
@@ -39,37 +39,37 @@
             }
         }
     };
-    let reply = within(CALL, work).await;
+    let reply = with_timeout(CALL_TIMEOUT, work).await;
     if let Err(error) = &reply {
-        warn!(event = "end", peer = %format_args!("eureka:{address}"), reason = code(error), call = ?call);
+        warn!(event = "end", peer = %format_args!("eureka:{address}"), reason = error_code(error), call = ?call);
     }
     let reply = reply.as_ref().ok().map(|(status, body)| (*status, body.as_slice()));
-    if let Some(news) = registry.replied(shared.now(), call, reply) {
-        files::hear(shared, Source::Registry, news);
+    if let Some(update) = registry.replied(shared.now(), call, reply) {
+        files::offer(shared, Source::Registry, update);
     }
 }
 
 /// Takes part in the registry until the bell rings, then leaves it.
-pub(super) async fn take_part(shared: Handle, mut registry: Eureka, leave: Rc<Bell>) {
+pub(super) async fn run_registry(shared: Handle, mut registry: Eureka, stop: Rc<Notify>) {
     loop {
         match registry.next(shared.now()) {
-            Ok(due) => call(&shared, &mut registry, due).await,
+            Ok(due) => send_call(&shared, &mut registry, due).await,
             Err(at) => {
                 let wait = async {
-                    Timer::after(micros(at - shared.now())).await;
+                    Timer::after(to_duration(at - shared.now())).await;
                     false
                 };
-                let left = async {
-                    leave.heard().await;
+                let stopped = async {
+                    stop.notified().await;
                     true
                 };
-                if future::or(left, wait).await {
+                if future::or(stopped, wait).await {
                     break;
                 }
             }
         }
     }
     if registry.registered() {
-        call(&shared, &mut registry, Call::Deregister).await;
+        send_call(&shared, &mut registry, Call::Deregister).await;
     }
 }
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -7,7 +7,7 @@
 use futures_lite::StreamExt;
 use tracing::{info, warn};
 
-use super::outbox::Bell;
+use super::outbox::Notify;
 use super::{Handle, files, quorum, step};
 use crate::api::ListKind;
 use crate::board::Board;
@@ -17,13 +17,13 @@
 use crate::roster::{ListUpdate, ListedServer, Source};
 
 /// A fixed list, as a whole.
-pub(super) fn whole(servers: Vec<ListedServer>) -> ListUpdate {
+pub(super) fn complete_list(servers: Vec<ListedServer>) -> ListUpdate {
     ListUpdate { kind: ListKind::Complete, servers }
 }
 
 /// Takes a new configuration in; one that can't work is logged, and the old one stays.
-fn reload(shared: &Handle, old: &mut Config, read: Result<Config, Findings>) {
-    let new = match read {
+fn reload(shared: &Handle, old: &mut Config, config: Result<Config, Findings>) {
+    let new = match config {
         Ok(new) => new,
         Err(problem) => {
             shared.node.borrow_mut().reread(false);
@@ -35,12 +35,12 @@
         shared.node.borrow_mut().reread(false);
         return warn!(event = "reload refused", problem = %format_args!("{field}: missing, though the file in force has it"));
     }
-    let mut fixed = old.fixed(&new);
-    fixed.extend(step(shared, |node, now, out| node.reload(now, &new, out)));
-    for field in &fixed {
+    let mut unchangeable = old.fixed(&new);
+    unchangeable.extend(step(shared, |node, now, out| node.reload(now, &new, out)));
+    for field in &unchangeable {
         warn!(event = "reload", field, "reload {field}: changed, waits for the next start");
     }
-    let news = if new.board.is_some() || new.known == old.known {
+    let updates = if new.board.is_some() || new.known == old.known {
         shared.board.borrow_mut().known(&new.known)
     } else {
         // A list without a board has no numbers: it is taken as a whole.
@@ -48,14 +48,14 @@
     };
     let timings = shared.node.borrow().timings();
     shared.timings.set(timings);
-    for news in news {
-        files::hear(shared, Source::Board, news);
+    for update in updates {
+        files::offer(shared, Source::Board, update);
     }
     if new.servers != old.servers {
-        files::hear(shared, Source::Fixed, whole(new.servers.clone()));
+        files::offer(shared, Source::Fixed, complete_list(new.servers.clone()));
     }
-    if shared.board_at.replace(new.board) != new.board {
-        shared.board_moved.ring();
+    if shared.board_address.replace(new.board) != new.board {
+        shared.board_address_changed.notify();
     }
     (old.board, old.known, old.servers, old.raw) = (new.board, new.known, new.servers, new.raw);
     shared.node.borrow_mut().reread(true);
@@ -63,28 +63,28 @@
 }
 
 /// Hears the signals as long as the program runs: SIGHUP reloads, the first of the others rings to stop.
-pub(super) async fn signals(
+pub(super) async fn handle_signals(
     shared: Handle,
     mut signals: Signals,
     mut config: Config,
-    reread: impl Fn() -> Result<Config, Findings>,
-    files: Option<Rc<RefCell<files::Files>>>,
+    read_config: impl Fn() -> Result<Config, Findings>,
+    files: Option<Rc<RefCell<files::WatchedFiles>>>,
     quorum: Option<Rc<quorum::Quorum>>,
-    stop: Rc<Bell>,
+    stop_requested: Rc<Notify>,
 ) {
     while let Some(signal) = signals.next().await {
         match signal {
             Ok(Signal::Hup) => {
-                reload(&shared, &mut config, reread());
-                files.iter().for_each(files::ask);
+                reload(&shared, &mut config, read_config());
+                files.iter().for_each(files::request_read);
             }
-            other => {
+            signal => {
                 // Tests fail from the moment that the log tells of it.
                 step(&shared, |node, now, out| node.stop(now, out));
-                info!(event = "stopping", signal = ?other);
+                info!(event = "stopping", signal = ?signal);
                 // Duties go to others at once, before anything else is waited for.
                 quorum.iter().for_each(|quorum| quorum.drain());
-                stop.ring();
+                stop_requested.notify();
             }
         }
     }
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -4,13 +4,13 @@
 
 use async_io::Async;
 
-use super::conns::{Towards, drive};
-use super::reading::TURN;
+use super::conns::{PeerKind, drive};
+use super::reading::READ_BUFFER_BYTES;
 use super::*;
 use crate::node::Protocol;
 
 /// What drivers share, as the example configuration has it.
-fn process() -> (Handle, Config) {
+fn shared_state() -> (Handle, Config) {
     let settings = include_str!("../../deploy/operator.toml");
     let config = Config::read(&toml::from_str(settings).unwrap()).unwrap();
     let shared = Shared::new(&config, Board::new(config.names.clone(), &serde_json::Value::Null).0);
@@ -18,17 +18,17 @@
 }
 
 /// A client's connection that was accepted.
-fn accepted(shared: &Handle, listener: &TcpListener) -> (ConnId, Async<TcpStream>, Rc<Outbox>) {
+fn accept_client(shared: &Handle, listener: &TcpListener) -> (ConnId, Async<TcpStream>, Rc<Outbox>) {
     let stream = Async::new(listener.accept().unwrap().0).unwrap();
-    let outbox = Rc::new(Outbox::new(&shared.queues.clients));
+    let outbox = Rc::new(Outbox::new(&shared.queue_limits.clients));
     let conn = step(shared, |node, _, _| node.number());
-    shared.boxes.borrow_mut().insert(conn, outbox.clone());
+    shared.outboxes.borrow_mut().insert(conn, outbox.clone());
     step(shared, |node, now, _| node.accepted(now, conn, Protocol::Platform));
     (conn, stream, outbox)
 }
 
 /// A request of a class.
-fn request(class: &str) -> String {
+fn set_up_line(class: &str) -> String {
     let fields =
         serde_json::json!({"class": class, "left": 500, "key": "k", "extras": "home:0;copies:1;top:0"});
     let line =
@@ -39,62 +39,62 @@
 /// Seen on a day with bad clients: a message of 60 MB was read to its end, past the limit on memory, as the
 /// reader left its own writer no turn to end the connection.
 #[test]
-fn a_message_that_never_ends_is_cut_off_after_a_turn_or_two() {
-    let (shared, _) = process();
+fn closes_connection_within_three_reads_of_an_endless_message() {
+    let (shared, _) = shared_state();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     peer.set_nonblocking(true).unwrap();
     let mut sent = 0;
-    while let Ok(n) = peer.write(&[b'x'; TURN]) {
+    while let Ok(n) = peer.write(&[b'x'; READ_BUFFER_BYTES]) {
         sent += n;
     }
-    assert!(sent > 8 * TURN);
-    let (conn, stream, outbox) = accepted(&shared, &listener);
-    assert_eq!(async_io::block_on(drive(&shared, conn, &stream, &outbox, Towards::Client)), "too-large");
-    let (mut rest, mut left) = (0, vec![0; TURN]);
-    while let Ok(n) = stream.get_ref().read(&mut left) {
-        rest += n;
+    assert!(sent > 8 * READ_BUFFER_BYTES);
+    let (conn, stream, outbox) = accept_client(&shared, &listener);
+    assert_eq!(async_io::block_on(drive(&shared, conn, &stream, &outbox, PeerKind::Client)), "too-large");
+    let (mut unread, mut buffer) = (0, vec![0; READ_BUFFER_BYTES]);
+    while let Ok(n) = stream.get_ref().read(&mut buffer) {
+        unread += n;
     }
-    assert!(sent - rest <= 3 * TURN, "{} of {sent} bytes read", sent - rest);
+    assert!(sent - unread <= 3 * READ_BUFFER_BYTES, "{} of {sent} bytes read", sent - unread);
 }
 
 /// Guards against a close that destroys what the peer wrote before it saw it, such as the end of a session.
 #[test]
-fn what_a_peer_writes_until_it_closes_too_is_heard_on_a_connection_that_is_left() {
-    let (shared, config) = process();
+fn lingering_close_reads_what_the_peer_writes_before_it_closes() {
+    let (shared, config) = shared_state();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let (conn, stream, outbox) = accepted(&shared, &listener);
+    let (conn, stream, outbox) = accept_client(&shared, &listener);
     let class = config.names.classes[0].clone();
-    let last_words = std::thread::spawn(move || {
+    let late_request = std::thread::spawn(move || {
         assert_eq!(peer.read(&mut [0; 16]).unwrap(), 0, "it is told of the end first");
-        peer.write_all(request(&class).as_bytes()).unwrap();
+        peer.write_all(set_up_line(&class).as_bytes()).unwrap();
     });
-    outbox.leave("replaced");
-    assert_eq!(async_io::block_on(drive(&shared, conn, &stream, &outbox, Towards::Server)), "replaced");
+    outbox.lingering_close("replaced");
+    assert_eq!(async_io::block_on(drive(&shared, conn, &stream, &outbox, PeerKind::Server)), "replaced");
     drop(stream);
-    last_words.join().unwrap();
+    late_request.join().unwrap();
     assert_eq!(shared.node.borrow().held(), (1, 0), "the last words were heard");
 }
 
 /// A request lies in the buffer when its connection is to be let go: it is heard, and the connection stays. Seen to
 /// fail where the driver ends a connection without that look.
 #[test]
-fn a_connection_is_not_let_go_over_a_request_that_was_not_read() {
-    let (shared, config) = process();
+fn close_if_quiet_handles_an_unread_request_and_stays_open() {
+    let (shared, config) = shared_state();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let (conn, stream, outbox) = accepted(&shared, &listener);
-    peer.write_all(request(&config.names.classes[0]).as_bytes()).unwrap();
-    outbox.let_go("idle");
+    let (conn, stream, outbox) = accept_client(&shared, &listener);
+    peer.write_all(set_up_line(&config.names.classes[0]).as_bytes()).unwrap();
+    outbox.close_if_quiet("idle");
     drop(peer);
-    assert_eq!(async_io::block_on(drive(&shared, conn, &stream, &outbox, Towards::Client)), "end-of-stream");
+    assert_eq!(async_io::block_on(drive(&shared, conn, &stream, &outbox, PeerKind::Client)), "end-of-stream");
     assert_eq!(shared.node.borrow().held(), (1, 0), "the request was heard before the end");
     // With nothing more to hear a connection goes.
     let peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let stream = Async::new(listener.accept().unwrap().0).unwrap();
-    let outbox = Rc::new(Outbox::new(&shared.queues.clients));
-    outbox.let_go("idle");
-    assert_eq!(async_io::block_on(drive(&shared, conn, &stream, &outbox, Towards::Client)), "idle");
+    let outbox = Rc::new(Outbox::new(&shared.queue_limits.clients));
+    outbox.close_if_quiet("idle");
+    assert_eq!(async_io::block_on(drive(&shared, conn, &stream, &outbox, PeerKind::Client)), "idle");
     drop(peer);
 }
