--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -15,12 +15,12 @@
 use support::*;
 
 const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
-const LIMIT: usize = 64;
+const DESCRIPTOR_LIMIT: usize = 64;
 
 /// The same command with a lower limit on descriptors.
-fn limited(command: &Command) -> Command {
+fn with_descriptor_limit(command: &Command) -> Command {
     let mut shell = Command::new("sh");
-    shell.arg("-c").arg(format!("ulimit -n {LIMIT}; exec \"$0\" \"$@\""));
+    shell.arg("-c").arg(format!("ulimit -n {DESCRIPTOR_LIMIT}; exec \"$0\" \"$@\""));
     shell.arg(command.get_program()).args(command.get_args());
     for (name, value) in command.get_envs() {
         match value {
@@ -31,13 +31,13 @@
     shell
 }
 
-fn started(config: &serde_json::Value) -> Program {
+fn start_program(config: &serde_json::Value) -> Program {
     let files = tempdir::Dir::new();
-    let command = limited(&Program::command(&files, config, &[]));
+    let command = with_descriptor_limit(&Program::command(&files, config, &[]));
     Program::start(command, files, &["viewer", "console"])
 }
 
-fn config_of(known: serde_json::Value, board: SocketAddr) -> serde_json::Value {
+fn config_json(known: serde_json::Value, board: SocketAddr) -> serde_json::Value {
     let mut settings = settings_with_spare_uplink(UNREACHED_DEADLINE_MS);
     settings["FamilyInfo"]["Places"] = json!(64);
     json!({"name": "n1", "listen": "127.0.0.1:0", "console": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
@@ -45,35 +45,35 @@
 }
 
 /// Clock ticks of processor time that a process has used.
-fn ticks(program: &Program) -> u64 {
+fn cpu_ticks(program: &Program) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", program.pid())).unwrap();
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
     fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
 }
 
 /// A hundred clients that test and then say nothing, and come again when they are let go.
-fn fill(at: SocketAddr, over: &Arc<AtomicBool>) -> std::thread::JoinHandle<()> {
-    let over = over.clone();
+fn hold_idle_connections(at: SocketAddr, stop: &Arc<AtomicBool>) -> std::thread::JoinHandle<()> {
+    let stop = stop.clone();
     std::thread::spawn(move || {
-        let come = || {
+        let connect = || {
             let mut stream = TcpStream::connect(at).unwrap();
             let _ = stream.write_all(ping().as_bytes());
             stream.set_nonblocking(true).unwrap();
             stream
         };
-        let mut idle: Vec<TcpStream> = (0..100).map(|_| come()).collect();
-        while !over.load(Ordering::Relaxed) {
+        let mut idle: Vec<TcpStream> = (0..100).map(|_| connect()).collect();
+        while !stop.load(Ordering::Relaxed) {
             for stream in &mut idle {
                 let mut buffer = [0; 256];
-                let gone = loop {
+                let is_closed = loop {
                     match std::io::Read::read(stream, &mut buffer) {
                         Ok(0) => break true,
                         Ok(_) => {}
                         Err(error) => break error.kind() != std::io::ErrorKind::WouldBlock,
                     }
                 };
-                if gone {
-                    *stream = come();
+                if is_closed {
+                    *stream = connect();
                 }
             }
             std::thread::sleep(std::time::Duration::from_millis(5));
@@ -84,32 +84,40 @@
 /// Discovery is out of reach from the start, and idle clients hold all that they can get. Seen to fail before: the
 /// machine's limit was not looked at, and clients' connections used up the descriptor that the notice board needs.
 #[test]
-fn the_list_comes_back_though_idle_clients_hold_all_that_they_can() {
+fn server_list_recovers_while_idle_clients_hold_all_their_descriptors() {
     let edge = Edge::start(EdgeBehaviour::Answers);
     // An address that turns connections down until it listens.
-    let place = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
-    bind(&place, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
-    let place = TcpListener::from(place);
-    let board = place.local_addr().unwrap();
-    let program = started(&config_of(json!({"rev": 0, "notices": []}), board));
-    let mut waits = program.connect("viewer");
-    send_set_up(&mut waits, 1, "paid", 50_000, "waits");
+    let listener = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
+    bind(&listener, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
+    let listener = TcpListener::from(listener);
+    let board = listener.local_addr().unwrap();
+    let program = start_program(&config_json(json!({"rev": 0, "notices": []}), board));
+    let mut waiting_client = program.connect("viewer");
+    send_set_up(&mut waiting_client, 1, "paid", 50_000, "waits");
     program.settle();
-    let over = Arc::new(AtomicBool::new(false));
-    let filler = fill(program.fronts["viewer"], &over);
+    let stop = Arc::new(AtomicBool::new(false));
+    let idle_clients = hold_idle_connections(program.fronts["viewer"], &stop);
     let descriptors = || std::fs::read_dir(format!("/proc/{}/fd", program.pid())).unwrap().count();
-    while descriptors() < LIMIT / 2 {
+    while descriptors() < DESCRIPTOR_LIMIT / 2 {
         std::thread::yield_now();
     }
-    let before = ticks(&program);
+    let before = cpu_ticks(&program);
     pass(1000);
-    assert!(ticks(&program) - before < 50, "it spins: {} ticks in a second", ticks(&program) - before);
+    assert!(
+        cpu_ticks(&program) - before < 50,
+        "it spins: {} ticks in a second",
+        cpu_ticks(&program) - before
+    );
     assert!(!program.call("check\n").is_empty(), "the second address has its own part");
-    listen(&place, 16).unwrap();
-    let board = NoticeBoard::on(place);
+    listen(&listener, 16).unwrap();
+    let board = NoticeBoard::on(listener);
     board.wait_for_request(1);
     board.tell(&event(1, true, &[("s-0", edge.address, 0, "in_service")]));
-    assert_eq!(final_answer(&mut waits, 1).unwrap()["type"], "answer", "a request on an open connection");
+    assert_eq!(
+        final_answer(&mut waiting_client, 1).unwrap()["type"],
+        "answer",
+        "a request on an open connection"
+    );
     let mut new = program.connect("viewer");
     send_set_up(&mut new, 2, "clip", 50_000, "new");
     assert_eq!(final_answer(&mut new, 2).unwrap()["type"], "answer", "a new client gets room");
@@ -118,13 +126,13 @@
     board.wait_for_request(2);
     board.tell(&event(2, false, &[("s-0", edge.address, 0, "terminating")]));
     program.wait_for_log("generation=2");
-    assert!(descriptors() <= LIMIT);
-    over.store(true, Ordering::Relaxed);
-    filler.join().unwrap();
+    assert!(descriptors() <= DESCRIPTOR_LIMIT);
+    stop.store(true, Ordering::Relaxed);
+    idle_clients.join().unwrap();
 }
 
 /// Asks for a session in one cell that is to stand soon or not at all.
-fn ask_soon(stream: &mut TcpStream, id: u64, cell: u64) {
+fn send_short_deadline_set_up(stream: &mut TcpStream, id: u64, cell: u64) {
     let fields = json!({"class": "clip", "left": 400, "tenant": "home", "key": "k",
         "extras": format!("home:{cell};copies:1;top:1")});
     let line = json!({"type": "setup", "id": format!("{id:016x}"), "sdp": "soon", "fields": fields});
@@ -133,7 +141,7 @@
 
 /// More servers than there are descriptors for: each request has its answer, the board and new clients are heard.
 #[test]
-fn more_servers_than_descriptors_leave_room_for_all_else() {
+fn serves_all_connections_with_more_servers_than_descriptors() {
     let edge = Edge::start(EdgeBehaviour::Answers);
     let mut listeners = Vec::new();
     let mut servers = Vec::new();
@@ -146,29 +154,29 @@
     let named: Vec<(&str, SocketAddr, u32, &str)> =
         servers.iter().zip(0..).map(|((id, at), cell)| (id.as_str(), *at, cell, "in_service")).collect();
     let board = NoticeBoard::start();
-    let program = started(&config_of(known_from_event(&event(1, true, &named)), board.address));
+    let program = start_program(&config_json(known_from_event(&event(1, true, &named)), board.address));
     board.wait_for_request(1);
     let mut client = program.connect("viewer");
-    let mut stand = 0;
+    let mut established = 0;
     for cell in 0..24 {
-        ask_soon(&mut client, cell + 1, cell);
-        let heard = final_answer(&mut client, cell + 1).expect("one answer each");
-        stand += usize::from(heard["type"] == "answer");
+        send_short_deadline_set_up(&mut client, cell + 1, cell);
+        let last_line = final_answer(&mut client, cell + 1).expect("one answer each");
+        established += usize::from(last_line["type"] == "answer");
     }
-    assert!(stand >= 8, "{stand} sessions stand");
+    assert!(established >= 8, "{established} sessions stand");
     board.tell(&event(2, false, &[("s-0", servers[0].1, 0, "terminating")]));
     program.wait_for_log("generation=2");
     assert!(!program.call("check\n").is_empty());
     let mut new = program.connect("viewer");
-    ask_soon(&mut new, 100, 1);
+    send_short_deadline_set_up(&mut new, 100, 1);
     assert!(final_answer(&mut new, 100).is_some());
     // Room for other servers comes once sessions are over.
     for id in 1..=24 {
-        let over = json!({"type": "release", "id": format!("{id:016x}"), "fields": {}, "cause": 16});
-        client.write_all(format!("{over}\n").as_bytes()).unwrap();
+        let release = json!({"type": "release", "id": format!("{id:016x}"), "fields": {}, "cause": 16});
+        client.write_all(format!("{release}\n").as_bytes()).unwrap();
     }
     let answered = (1..60).any(|n| {
-        ask_soon(&mut new, 200 + n, 23 - n % 8);
+        send_short_deadline_set_up(&mut new, 200 + n, 23 - n % 8);
         final_answer(&mut new, 200 + n).unwrap()["type"] == "answer"
     });
     assert!(answered, "no room comes back");
--- a/tests/half_written.rs
+++ b/tests/half_written.rs
@@ -16,15 +16,15 @@
 
 const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 /// Bytes of an offer: the longest message is 16 KB.
-const OFFER: usize = 14_000;
+const OFFER_BYTES: usize = 14_000;
 /// What the server's machine takes unread, about.
-const UNREAD: usize = 8 * 1024;
+const RECEIVE_BUFFER_BYTES: usize = 8 * 1024;
 /// Set-ups that wait behind the half written one when its client leaves.
-const BEHIND: u64 = 3;
+const SET_UPS_PER_ROUND: u64 = 3;
 /// So many turns of the program without a byte written mean that it can't write.
-const TURNS: u32 = 6;
+const UNCHANGED_TURNS: u32 = 6;
 /// The kernel takes no more than some megabytes for one connection.
-const MOST_SET_UPS: u64 = 600;
+const MAX_SET_UPS: u64 = 600;
 
 /// A message as the server read it: how far its last byte is from the connection's first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,19 +35,19 @@
 }
 
 /// A server that accepts and reads nothing until it is told to.
-struct Deaf {
+struct NonReadingServer {
     listener: TcpListener,
 }
 
-impl Deaf {
-    fn new() -> Deaf {
+impl NonReadingServer {
+    fn new() -> NonReadingServer {
         use rustix::net::{AddressFamily, SocketType, bind, listen, socket, sockopt};
         let socket = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
         // Connections that it accepts have the same.
-        sockopt::set_socket_recv_buffer_size(&socket, UNREAD).unwrap();
+        sockopt::set_socket_recv_buffer_size(&socket, RECEIVE_BUFFER_BYTES).unwrap();
         bind(&socket, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
         listen(&socket, 16).unwrap();
-        Deaf { listener: TcpListener::from(socket) }
+        NonReadingServer { listener: TcpListener::from(socket) }
     }
 
     fn address(&self) -> SocketAddr {
@@ -57,7 +57,7 @@
 
 /// What the machine holds of a connection from `from` to `to`: bytes that were written and not acknowledged yet, and
 /// bytes that came and were not read.
-fn queues(from: SocketAddr, to: SocketAddr) -> (usize, usize) {
+fn queued_bytes(from: SocketAddr, to: SocketAddr) -> (usize, usize) {
     let hex = |port: u16| format!(":{port:04X}");
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let of = |local: u16, remote: u16, nth: usize| {
@@ -74,33 +74,33 @@
 }
 
 /// Bytes of a connection that its server never read from that were written.
-fn written(stream: &TcpStream) -> usize {
+fn bytes_written(stream: &TcpStream) -> usize {
     let (broker, server) = (stream.peer_addr().unwrap(), stream.local_addr().unwrap());
-    let (unacknowledged, unread) = queues(broker, server);
+    let (unacknowledged, unread) = queued_bytes(broker, server);
     unacknowledged + unread
 }
 
-fn ask_at_the_deaf(client: &mut TcpStream, id: u64, class: &str) {
+fn send_large_set_up(client: &mut TcpStream, id: u64, class: &str) {
     let fields = json!({"class": class, "left": 50_000, "tenant": "home", "key": format!("k{id}"),
         "extras": "home:0;copies:1;top:1"});
-    let offer = format!("{id:<width$}", width = OFFER);
+    let offer = format!("{id:<width$}", width = OFFER_BYTES);
     let line = json!({"type": "setup", "id": format!("{id:016x}"), "sdp": offer, "fields": fields});
     client.write_all(format!("{line}\n").as_bytes()).unwrap();
 }
 
 /// Whether the machine takes nothing more though there is more to write.
-fn full(program: &Program, server: &TcpStream, ask_more: &mut impl FnMut() -> u64) -> bool {
-    let before = written(server);
+fn is_connection_full(program: &Program, server: &TcpStream, ask_more: &mut impl FnMut() -> u64) -> bool {
+    let before = bytes_written(server);
     ask_more();
     // What was decided is written in the next turns, as far as the machine takes it.
-    (0..TURNS).all(|_| {
+    (0..UNCHANGED_TURNS).all(|_| {
         program.settle();
-        written(server) == before
+        bytes_written(server) == before
     })
 }
 
 /// Reads messages until a set-up has come.
-fn read_until(stream: &mut TcpStream, last: u64) -> Vec<Message> {
+fn read_until_set_up(stream: &mut TcpStream, last: u64) -> Vec<Message> {
     let (mut decoder, mut buffer) = (Decoder::default(), vec![0; 64 * 1024]);
     let (mut messages, mut bytes): (Vec<Message>, Vec<u8>) = (Vec::new(), Vec::new());
     loop {
@@ -122,58 +122,62 @@
 
 /// Seen to fail before: the release waited behind all that was queued when the client left.
 #[test]
-fn the_rest_of_a_half_written_set_up_is_followed_by_its_release() {
+fn writes_release_directly_behind_a_half_written_set_up() {
     for class in ["paid", "clip"] {
-        leaves_in_the_middle(class);
+        client_leaves_during_a_set_up(class);
     }
 }
 
-fn leaves_in_the_middle(class: &str) {
-    let (deaf, other) = (Deaf::new(), Edge::start(EdgeBehaviour::Answers));
+fn client_leaves_during_a_set_up(class: &str) {
+    let (non_reading, other) = (NonReadingServer::new(), Edge::start(EdgeBehaviour::Answers));
     let known = known_from_event(&event(
         1,
         true,
-        &[("s-0", deaf.address(), 0, "in_service"), ("s-1", other.address, 1, "in_service")],
+        &[("s-0", non_reading.address(), 0, "in_service"), ("s-1", other.address, 1, "in_service")],
     ));
     let mut settings = settings_with_spare_uplink(UNREACHED_DEADLINE_MS);
     settings["FamilyInfo"]["PlacesByKind"] = json!([1000]);
-    let more = json!({"console": "127.0.0.1:0", "known": known, "settings": settings});
+    let options = json!({"console": "127.0.0.1:0", "known": known, "settings": settings});
     let program =
-        Program::platform_with_config(&[&other], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
-    let (mut stays, mut leaves) = (program.connect("viewer"), program.connect("viewer"));
-    leaves.set_nodelay(true).unwrap();
-    ask_at_the_deaf(&mut stays, 1, class);
-    let (mut server, _) = deaf.listener.accept().unwrap();
+        Program::platform_with_config(&[&other], UNREACHED_DEADLINE_MS, &options, &["viewer", "console"]);
+    let (mut staying, mut leaving) = (program.connect("viewer"), program.connect("viewer"));
+    leaving.set_nodelay(true).unwrap();
+    send_large_set_up(&mut staying, 1, class);
+    let (mut server, _) = non_reading.listener.accept().unwrap();
     server.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     program.settle();
     let mut id = 1;
     let mut ask_more = || {
-        for _ in 0..BEHIND {
+        for _ in 0..SET_UPS_PER_ROUND {
             id += 1;
-            ask_at_the_deaf(&mut leaves, id, class);
+            send_large_set_up(&mut leaving, id, class);
         }
         // What was said before a test is decided before it is answered.
-        leaves.write_all(ping().as_bytes()).unwrap();
-        assert_eq!(line(&mut leaves).unwrap()["type"], "pong", "{class}");
-        assert!(id < MOST_SET_UPS, "the machine takes all");
+        leaving.write_all(ping().as_bytes()).unwrap();
+        assert_eq!(line(&mut leaving).unwrap()["type"], "pong", "{class}");
+        assert!(id < MAX_SET_UPS, "the machine takes all");
         id
     };
-    while !full(&program, &server, &mut ask_more) {}
+    while !is_connection_full(&program, &server, &mut ask_more) {}
     let last = ask_more() + 1;
-    ask_at_the_deaf(&mut stays, last, class);
+    send_large_set_up(&mut staying, last, class);
     program.settle();
-    let cut = written(&server);
-    drop(leaves);
+    let written = bytes_written(&server);
+    drop(leaving);
     program.settle();
     program.settle();
-    assert_eq!(written(&server), cut, "the server's machine takes more meanwhile");
+    assert_eq!(bytes_written(&server), written, "the server's machine takes more meanwhile");
 
-    let messages = read_until(&mut server, last);
+    let messages = read_until_set_up(&mut server, last);
     let set_ups: Vec<&Message> = messages.iter().filter(|m| m.kind == Kind::SetUp).collect();
-    let half = messages.iter().position(|m| m.end > cut).unwrap();
-    assert!(half > 0 && messages[half - 1].end < cut, "{class}: none was half written");
-    assert!(messages[half].kind == Kind::SetUp && messages[half].id < last, "{class}: {:?}", messages[half]);
-    let (next, own) = (messages[half + 1], messages[half].id);
+    let half_written = messages.iter().position(|m| m.end > written).unwrap();
+    assert!(half_written > 0 && messages[half_written - 1].end < written, "{class}: none was half written");
+    assert!(
+        messages[half_written].kind == Kind::SetUp && messages[half_written].id < last,
+        "{class}: {:?}",
+        messages[half_written]
+    );
+    let (next, own) = (messages[half_written + 1], messages[half_written].id);
     assert_eq!((next.kind, next.id), (Kind::Release, own), "{class}: directly behind it");
     // What was not begun never leaves; what was is set up once, and released once.
     let begun: Vec<u64> = set_ups.iter().map(|m| m.id).filter(|id| *id != last).collect();
@@ -190,15 +194,15 @@
     // Those who stay are answered on the same connection.
     for id in [1, last] {
         server.write_all(&answer(SessionId(id), "o").finish().unwrap()).unwrap();
-        assert_eq!(final_answer(&mut stays, id).unwrap()["type"], "answer", "{class}");
+        assert_eq!(final_answer(&mut staying, id).unwrap()["type"], "answer", "{class}");
     }
     // No attempt was made anywhere else, then or later.
     program.settle();
-    deaf.listener.set_nonblocking(true).unwrap();
-    for (stream, _) in std::iter::from_fn(|| deaf.listener.accept().ok()) {
+    non_reading.listener.set_nonblocking(true).unwrap();
+    for (stream, _) in std::iter::from_fn(|| non_reading.listener.accept().ok()) {
         stream.set_nonblocking(true).unwrap();
-        let said = (&stream).read(&mut [0; 1]);
-        assert!(!matches!(said, Ok(n) if n > 0), "{class}: something was set up anew");
+        let read = (&stream).read(&mut [0; 1]);
+        assert!(!matches!(read, Ok(n) if n > 0), "{class}: something was set up anew");
     }
     assert!(other.set_ups().is_empty(), "{class}");
 }
--- a/tests/letting_go.rs
+++ b/tests/letting_go.rs
@@ -11,25 +11,25 @@
 
 const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
-fn test(stream: &mut TcpStream) {
+fn exchange_ping(stream: &mut TcpStream) {
     stream.write_all(ping().as_bytes()).unwrap();
-    assert_eq!(line_of(stream)["type"], "pong");
+    assert_eq!(next_line(stream)["type"], "pong");
 }
 
-fn line_of(stream: &mut TcpStream) -> serde_json::Value {
+fn next_line(stream: &mut TcpStream) -> serde_json::Value {
     line(stream).expect("the connection ended")
 }
 
 /// The program stands still from before the end of an idle connection's time until behind it; the request comes in
 /// between. Seen to fail before: the request lay unread while the connection was closed over it.
 #[test]
-fn a_request_that_came_before_an_idle_connection_was_closed_is_answered() {
+fn answers_request_that_arrived_before_an_idle_connection_closed() {
     let edge = Edge::start(EdgeBehaviour::Answers);
     let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
-    for (id, spoke) in [(1, true), (2, false)] {
+    for (id, has_sent_ping) in [(1, true), (2, false)] {
         let mut client = program.connect("viewer");
-        if spoke {
-            test(&mut client);
+        if has_sent_ping {
+            exchange_ping(&mut client);
         }
         program.while_stopped(|| {
             send_set_up(&mut client, id, "paid", 50_000, "crosses");
@@ -42,14 +42,14 @@
 
 /// The same where room is made for others.
 #[test]
-fn a_request_that_came_before_its_connection_made_room_is_answered() {
+fn answers_request_that_arrived_before_its_connection_was_closed_to_make_room() {
     let edge = Edge::start(EdgeBehaviour::Answers);
-    let more = json!({"limits": {"sockets": 32}, "console": "127.0.0.1:0"});
+    let options = json!({"limits": {"sockets": 32}, "console": "127.0.0.1:0"});
     let program =
-        Program::platform_with_config(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
+        Program::platform_with_config(&[&edge], UNREACHED_DEADLINE_MS, &options, &["viewer", "console"]);
     let mut clients: Vec<TcpStream> = (0..9).map(|_| program.connect("viewer")).collect();
     for client in &mut clients {
-        test(client);
+        exchange_ping(client);
     }
     program.while_stopped(|| {
         // The oldest is the first that would go; the rest of the room and more is asked for behind it.
@@ -62,7 +62,7 @@
 /// An answer that is on its way while its client goes: the session ends where it was set up. Seen to fail before: it
 /// played on at its server for nobody.
 #[test]
-fn a_session_whose_client_went_before_its_answer_is_released() {
+fn releases_session_when_client_disconnects_before_the_answer() {
     let edge = Edge::start(EdgeBehaviour::Answers);
     let program = Program::platform(&[&edge], UNREACHED_DEADLINE_MS);
     let mut client = program.connect("viewer");
