--- a/src/net/budget/tests.rs
+++ b/src/net/budget/tests.rs
@@ -10,7 +10,7 @@
         );
         assert!(clients > 0 && console > 1 && servers > 0, "{limit}");
     }
-    // As the platform has it: clients hold a third of the limit at most.
+    // The platform's share for viewers: there is room for a third of the limit at least.
     for limit in [64, 256, 512, 1024] {
         assert!(
             DescriptorBudget::divide(limit).clients * 3 >= limit,
@@ -19,7 +19,7 @@
         );
     }
     assert_eq!(DescriptorBudget::divide(1024), DescriptorBudget { clients: 512, console: 64, servers: 432 });
-    // The last clients leave room for what each kind of connection must have.
+    // The clients that are accepted during shutdown leave each kind of connection its minimum.
     for limit in 23..5000 {
         let budget = DescriptorBudget::divide(limit);
         for server_connections in 0..=budget.servers {
@@ -30,7 +30,7 @@
             );
         }
     }
-    // A limit that is far too low is no reason to panic.
+    // A limit that is far too low does not cause a panic.
     for limit in 0..23 {
         assert!(DescriptorBudget::divide(limit).clients > 0 && DescriptorBudget::divide(limit).servers > 0);
     }
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,29 +1,32 @@
-//! The system's Unix clock.
+//! The system's Unix clock, made monotonic.
 
 use std::cell::Cell;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use crate::api::Micros;
 
+/// Returns the system's Unix time.
 pub(super) fn unix_now() -> Micros {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Micros(unix.as_micros() as u64)
 }
 
-/// A clock that was set back by more than this runs on from where it was.
+/// After a backward step of more than this, time continues from its last value. A smaller one is waited out.
 const MAX_BACKWARD_STEP: Micros = Micros(1_000_000);
 
-/// The system's Unix clock, as time that never runs backwards.
+/// Turns readings of the system's Unix clock into a time that never goes backwards.
 #[derive(Default)]
 pub(super) struct Clock {
     last: Cell<Micros>,
+    /// The sum of the backward steps, which is added to each reading.
     offset: Cell<Micros>,
 }
 
 impl Clock {
+    /// Returns the monotonic time for a reading of the system's clock.
     pub(super) fn read(&self, unix: Micros) -> Micros {
         let (now, last) = (unix + self.offset.get(), self.last.get());
-        // Waiting for a clock that was set back would stop every timer for as long.
+        // Without the offset, every timer would stop until the clock has caught up.
         if last - now > MAX_BACKWARD_STEP {
             self.offset.set(self.offset.get() + (last - now));
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! The only module with sockets: thin drivers that move bytes between them and the [`Node`].
+//! Network and timer I/O of the process. This is the only module that owns sockets: its tasks move bytes between the
+//! sockets and the [`Node`], which makes all decisions without doing I/O itself.
 
 mod accept;
 mod board;
@@ -51,47 +52,54 @@
 use queues::QueueLimits;
 use reading::READ_BUFFER_BYTES;
 
+/// The state that all tasks of the process share. They run on one thread.
 struct Shared {
     executor: Rc<LocalExecutor<'static>>,
     node: RefCell<Node>,
     outboxes: RefCell<BTreeMap<ConnId, Rc<Outbox>>>,
-    /// Clients' connections, to be read before anything is sent on their behalf; and the notice board's.
+    /// The clients' sockets, and the notice board's: they are read before a set-up is sent on a client's behalf.
     client_streams: RefCell<BTreeMap<ConnId, Rc<Async<TcpStream>>>>,
     board_stream: RefCell<Option<Rc<Async<TcpStream>>>>,
-    /// Why the board's connection is over, until that is seen to.
+    /// Why the notice board's connection has ended, until the task that follows the board handles it.
     board_end_reason: Cell<Option<&'static str>>,
     clock: Clock,
+    /// Wakes the timer task, as each step may change the time of the node's next alarm.
     alarm_changed: Notify,
+    /// One read buffer serves all connections: nothing else runs between a read and the step that uses its bytes.
     read_buffer: RefCell<Vec<u8>>,
     board: RefCell<Board>,
     roster: RefCell<Roster>,
-    /// Rings when the list has changed, or when one is held back.
+    /// Notified when the server list has changed, or when a list is held back.
     list_changed: Notify,
-    /// Where the notice board listens, and the bell that tells of a new address.
+    /// The address of the notice board, and the notification of a new one.
     board_address: Cell<Option<SocketAddr>>,
     board_address_changed: Notify,
     budget: DescriptorBudget,
+    /// The number of accepted client connections, and the notification that one has ended.
     client_count: Cell<usize>,
     client_closed: Notify,
-    /// Connections to edge servers that have a descriptor, and the bell that tells of one that ended.
+    /// The number of connections to edge servers that hold a descriptor, and the notification that one has ended.
     server_connection_count: Cell<usize>,
     server_connection_closed: Notify,
     queue_limits: QueueLimits,
-    /// Time limits that follow from the settings in use.
+    /// The timeouts that follow from the settings in use.
     timings: Cell<Timings>,
-    /// The processes before and after this one, where the platform lets versions follow each other under load.
+    /// The hand-over with the process before and the one after this one, on platforms that replace a running version
+    /// under load.
     handover: RefCell<Option<Rc<handover::Handover>>>,
 }
 
+/// A shared reference to the state of the process.
 type Handle = Rc<Shared>;
 
+/// Converts a span of time to the type that timers take.
 fn to_duration(micros: Micros) -> Duration {
     Duration::from_micros(micros.0)
 }
 
 impl Shared {
     fn new(config: &Config, board: Board) -> Handle {
-        // Only lists from watched files are ever held back.
+        // Only lists from watched files are held back, so without a watch the limit is never reached.
         let never = ShrinkLimit { most_dropped: 1.0, hold: Micros(0) };
         let shrink_limit = config.watch.as_ref().map_or(never, |w| w.plausible);
         let (node, budget) = (Node::new(config), DescriptorBudget::new(config.sockets));
@@ -122,19 +130,20 @@
         })
     }
 
+    /// Returns the current time, which never goes backwards.
     fn now(&self) -> Micros {
         self.clock.read(unix_now())
     }
 }
 
-/// Lets the node do something, then carries its commands out.
+/// Calls `act` on the node, then executes the commands, log lines and messages that it produced.
 fn step<T>(shared: &Handle, act: impl FnOnce(&mut Node, Micros, &mut Vec<Command>) -> T) -> T {
     let now = shared.now();
     let mut commands = Vec::new();
     let (result, lines, trace_events, messages) = {
         let mut node = shared.node.borrow_mut();
         if node.has_rules() {
-            // Read anew for each step: what is decided after a stall is decided by the moment behind it.
+            // The boot clock is read for each step, so that a decision after a stall uses the time after the stall.
             node.set_boot(quorum::boot_now());
         }
         (act(&mut node, now, &mut commands), node.take_log(), node.take_trace(), node.take_messages())
@@ -170,7 +179,7 @@
                 match outbox {
                     Some(outbox) if outbox.withdraw(id) => withdrawn.push((conn, id)),
                     Some(outbox) => outbox.push_release(release, id),
-                    // Its connection is over, and tells that itself.
+                    // The connection has ended; its own task reports that to the node.
                     None => {}
                 }
             }
@@ -207,15 +216,17 @@
     result
 }
 
-/// What a node is let do.
+/// A boxed call on the node.
 type NodeAction = Box<dyn FnOnce(&mut Node, Micros, &mut Vec<Command>)>;
 
-/// The end of an attempt is written on its connection, or the attempt never left.
+/// Tells the node that the release of a withdrawn attempt is written on its connection, or that the attempt was never
+/// sent.
 fn report_withdrawn(shared: &Handle, conn: ConnId, id: SessionId) {
     let act: NodeAction = Box::new(move |node, now, out| node.withdrawn(now, conn, id, out));
     step(shared, act);
 }
 
+/// Runs the node's alarms when they are due.
 async fn run_timers(shared: Handle) {
     loop {
         let wait = to_duration(shared.node.borrow().next_alarm() - shared.now());
@@ -225,7 +236,8 @@
             };
             future::or(shared.alarm_changed.notified(), timer).await;
         }
-        // What came meanwhile is heard before what is due: readers that were woken together with this have their turn.
+        // Readers that were woken together with this task run first: input that has arrived is handled before an
+        // alarm.
         future::yield_now().await;
         if shared.node.borrow().next_alarm() <= shared.now() {
             step(&shared, |node, now, out| node.tick(now, out));
--- a/src/net/queues.rs
+++ b/src/net/queues.rs
@@ -1,29 +1,29 @@
-//! Bytes that wait to be written: counted over all connections of one kind, so that one of them may have a long queue
-//! while the others' are short, and memory is bounded all the same.
+//! Limits on the bytes that wait to be written. They are counted over all connections of one kind, so that one
+//! connection may have a long queue while the others' queues are short, and memory is bounded nevertheless.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use super::budget::DescriptorBudget;
 
-/// The part of the memory that what waits for clients may take, twice at the very most: once together, and once by
-/// connections that each stay within their share.
+/// Queues towards clients may use this fraction of the memory: 1/16. The worst case is twice as much: the common limit
+/// is used up, and then each connection fills its own share as well.
 const CLIENT_MEMORY_DIVISOR: usize = 16;
-/// The same towards edge servers: the part that the core gives to sessions and their descriptions, as each description
-/// that is held may wait here once more.
+/// Queues towards edge servers may use this fraction of the memory: 1/4. It is the fraction that the core gives to
+/// sessions and their descriptions, as each description that is held may wait here once more.
 const SERVER_MEMORY_DIVISOR: usize = 4;
 
-/// The bytes that connections of one kind may keep waiting together.
+/// The limit on the queued bytes of all connections of one kind.
 #[derive(Debug, Default)]
 pub struct QueueLimit {
     max_bytes: usize,
-    /// One connection's share of that.
+    /// The share of one connection, which it may use at any time.
     share_bytes: usize,
     used_bytes: Cell<usize>,
 }
 
 impl QueueLimit {
-    /// So many bytes for so many connections.
+    /// Creates a limit of `max_bytes` for a number of connections.
     pub fn new(max_bytes: usize, connections: usize) -> Rc<QueueLimit> {
         Rc::new(QueueLimit {
             max_bytes,
@@ -33,7 +33,7 @@
     }
 }
 
-/// What one connection keeps waiting.
+/// The number of queued bytes of one connection.
 #[derive(Debug, Default)]
 pub struct QueuedBytes {
     limit: Rc<QueueLimit>,
@@ -41,25 +41,25 @@
 }
 
 impl QueuedBytes {
-    /// Nothing yet.
+    /// Creates the count of a connection that has nothing queued.
     pub fn new(limit: &Rc<QueueLimit>) -> QueuedBytes {
         QueuedBytes { limit: limit.clone(), bytes: Cell::new(0) }
     }
 
-    /// So many bytes more wait.
+    /// Counts bytes that are queued.
     pub fn add(&self, bytes: usize) {
         self.bytes.set(self.bytes.get() + bytes);
         self.limit.used_bytes.set(self.limit.used_bytes.get() + bytes);
     }
 
-    /// So many bytes wait no longer.
+    /// Counts bytes that have left the queue.
     pub fn sub(&self, bytes: usize) {
         let bytes = bytes.min(self.bytes.get());
         self.bytes.set(self.bytes.get() - bytes);
         self.limit.used_bytes.set(self.limit.used_bytes.get() - bytes);
     }
 
-    /// Whether the allowance is used up, and this connection has more than its share of it.
+    /// Whether the common limit is exceeded and this connection uses more than its share.
     pub fn exceeds_limit(&self) -> bool {
         self.limit.used_bytes.get() > self.limit.max_bytes && self.bytes.get() > self.limit.share_bytes
     }
@@ -71,7 +71,7 @@
     }
 }
 
-/// What may wait for clients, and for edge servers.
+/// The limits on queues towards clients and towards edge servers.
 #[derive(Debug)]
 pub(super) struct QueueLimits {
     pub(super) clients: Rc<QueueLimit>,
@@ -79,7 +79,7 @@
 }
 
 impl QueueLimits {
-    /// For so many bytes of memory in all, and the connections that there are descriptors for.
+    /// Creates the limits from the memory of the process and the numbers of connections that have descriptors.
     pub(super) fn new(memory_bytes: usize, budget: &DescriptorBudget) -> QueueLimits {
         QueueLimits {
             clients: QueueLimit::new(memory_bytes / CLIENT_MEMORY_DIVISOR, budget.clients),
--- a/src/net/reading.rs
+++ b/src/net/reading.rs
@@ -1,4 +1,4 @@
-//! Reading a socket, and the codes of what can end it: shared by all drivers of connections.
+//! Helpers that the connection tasks share: reads without waiting, reason codes of I/O errors, and timeouts.
 
 use std::future::Future;
 use std::io::{self, Read as _};
@@ -10,13 +10,14 @@
 
 use super::Handle;
 
-/// Bytes that one connection may bring in one turn, before the others have theirs.
+/// The most bytes that are read from one connection before the other connections get their turn.
 pub(super) const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// Bytes read of one peer at most without waiting: one that sends without a pause is not waited for.
+/// The most bytes that are read from one peer without waiting, so that a peer that sends without a pause does not
+/// block the reader.
 const MAX_READ_BYTES: usize = 8 * READ_BUFFER_BYTES;
 
-/// Reads what lies there, without waiting; `hear` gets it and says whether to go on. Gives the reason's code if the
-/// peer has gone.
+/// Reads what has already arrived, without waiting. `handle` gets the bytes and returns whether to read on. Returns
+/// the reason code if the peer has closed the connection.
 pub(super) fn read_available(
     shared: &Handle,
     stream: &Async<TcpStream>,
@@ -42,7 +43,7 @@
     None
 }
 
-/// The code of an I/O error in the log, such as `reset`.
+/// Returns the reason code of an I/O error for the log, such as `reset`.
 pub(super) fn error_code(error: &io::Error) -> &'static str {
     match error.kind() {
         io::ErrorKind::ConnectionReset => "reset",
@@ -53,7 +54,7 @@
     }
 }
 
-/// Does some work, or gives [`io::ErrorKind::TimedOut`] after a span of time.
+/// Runs a future, or returns [`io::ErrorKind::TimedOut`] after a timeout.
 pub(super) async fn with_timeout<T>(
     timeout: Duration,
     work: impl Future<Output = io::Result<T>>,
--- a/src/net/room.rs
+++ b/src/net/room.rs
@@ -1,4 +1,4 @@
-//! Room for one more connection, where descriptors are short.
+//! Waits for a free descriptor before one more connection is opened.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use crate::node::Node;
 use crate::platform::links::Command;
 
-/// Time between looks for a connection that can be let go, while descriptors are short.
+/// The time between searches for a connection that can be closed, while descriptors are short.
 pub(super) const ROOM_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Waits while a part of the descriptors is `full`; each time that is found, one connection is asked to make room.
-/// `freed` rings when one has ended.
+/// Waits while all descriptors for a kind of connection are in use, as `is_full` tells. Each time, `make_room` may
+/// close one connection. `freed` notifies of a connection that has ended.
 pub(super) async fn wait_for_room(
     shared: &Handle,
     is_full: impl Fn() -> bool,
@@ -31,11 +31,11 @@
     }
 }
 
-/// Counts a connection to an edge server for as long as it has a descriptor.
+/// Counts a connection to an edge server for as long as it holds a descriptor.
 pub(super) struct ServerSlot(Handle);
 
 impl ServerSlot {
-    /// Waits until there is a descriptor for one more; connections that nothing needs make room.
+    /// Waits until there is a descriptor for one more connection. Idle connections are closed to make room.
     pub(super) async fn acquire(shared: &Handle) -> ServerSlot {
         let is_full = || shared.server_connection_count.get() >= shared.budget.servers;
         wait_for_room(shared, is_full, &shared.server_connection_closed, |node, _, out| {
