--- a/src/net/conns.rs
+++ b/src/net/conns.rs
@@ -1,4 +1,4 @@
-//! Connections: read and written until they end, each with a reason for the log.
+//! Runs client and edge server connections: reads and writes until a connection ends, and logs the reason of its end.
 
 use std::io::{self, Read as _, Write as _};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -18,22 +18,23 @@
 use crate::node::Protocol;
 use crate::platform::links::{ConnId, ConnectionEnd};
 
-/// A server, a caller or another broker that takes nothing for so long while there is something to write is let go. For
-/// a server it is short on purpose: what has not left by then has not run, and may still be tried elsewhere.
+/// The time after which a connection to a server, a console caller or another broker is closed if the peer accepts
+/// none of the bytes that are to be written. It is short so that set-ups that were not sent to a server by then have
+/// not run there, and may still be tried elsewhere.
 pub(super) const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a peer has to close a connection too that this side has ended.
+/// The time that a peer has to close its side of a connection after this side has shut down its own.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Who is at the other end of a connection.
+/// The kind of peer at the other end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PeerKind {
     /// A client, or another process of this program.
     Client,
-    /// An edge server: set-ups leave here.
+    /// An edge server, to which set-ups are sent.
     Server,
 }
 
-/// Reads and writes until the connection ends; gives the reason's code.
+/// Reads and writes until the connection ends. Returns the reason code of its end.
 pub(super) async fn drive(
     shared: &Handle,
     conn: ConnId,
@@ -43,26 +44,26 @@
 ) -> &'static str {
     let read = async {
         loop {
-            // One buffer does for all connections: nothing else runs between the read and the step.
+            // One buffer serves all connections: nothing else runs between the read and the step.
             let n = match stream.read_with(|mut s| s.read(&mut shared.read_buffer.borrow_mut())).await {
                 Ok(0) => return outbox.close_reason().unwrap_or("end-of-stream"),
                 Ok(n) => n,
                 Err(error) => return outbox.close_reason().unwrap_or(error_code(&error)),
             };
-            // What comes behind the end is read for nobody.
+            // Input after the decision to close is discarded.
             if !outbox.is_closing() {
                 let buffer = shared.read_buffer.borrow();
                 presence::deliver(shared, conn, outbox, &buffer[..n]);
             }
-            // A peer that sends without a pause would otherwise keep all others waiting, and its own writer,
-            // which is to end the connection.
+            // Yields, because a peer that sends without a pause would otherwise block all other connections, and its
+            // own writer, which may have to close the connection.
             future::yield_now().await;
         }
     };
     let write = async {
         loop {
             if let Some(reason) = outbox.ready().await {
-                // A request that lies there already would find no answer.
+                // A request that has already arrived would not be answered.
                 if peer_kind == PeerKind::Client && presence::stays_open(shared, conn, stream, outbox) {
                     continue;
                 }
@@ -75,7 +76,7 @@
             let set_ups = outbox.set_ups_in_next_write();
             if peer_kind == PeerKind::Server {
                 set_ups.iter().for_each(|id| presence::confirm_set_up(shared, conn, *id));
-                // What is left of it, or a close, is looked at anew.
+                // If that withdrew a set-up or closed the connection, the queue is examined again.
                 if outbox.set_ups_in_next_write() != set_ups || outbox.is_closing() && outbox.is_empty() {
                     continue;
                 }
@@ -84,10 +85,11 @@
                 .then(|| presence::deliver_available(shared, conn, stream, outbox))
                 .flatten()
             {
-                // Who has gone gets no answer; the session ends where it was set up. Ends are told elsewhere.
+                // A client that has disconnected gets no answer: its session is released at the server. Ends of other
+                // sessions that are queued here are delivered on another connection.
                 return reason;
             }
-            // Nothing runs between that look and the write.
+            // Nothing else runs between these checks and the write.
             match outbox.write_queued(|slices| stream.get_ref().write_vectored(slices)) {
                 Ok(0) => return "write-zero",
                 Ok(n) => {
@@ -99,7 +101,7 @@
                     completed.withdrawals.iter().for_each(|id| report_withdrawn(shared, conn, *id));
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    // A client's answers are of use for as long as it waits.
+                    // An answer is useful to a client for as long as the client waits for it.
                     let timeout = match peer_kind {
                         PeerKind::Client => to_duration(shared.timings.get().client_stalled),
                         PeerKind::Server => WRITE_TIMEOUT,
@@ -118,8 +120,8 @@
     future::or(outbox.aborted(), future::or(write, read)).await
 }
 
-/// Ends a client's connection so that an answer on its way is not destroyed: closing a socket with unread input
-/// resets the connection. Input is dropped until the client has closed too, for a short while.
+/// Shuts down a client's connection without losing an answer in transit: closing a socket with unread input resets the
+/// connection. Input is discarded until the client has closed too, or until [`LINGER_TIMEOUT`].
 async fn linger(shared: &Handle, stream: &Async<TcpStream>, outbox: &Outbox) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     if outbox.has_written() {
@@ -127,7 +129,7 @@
     }
 }
 
-/// Drops what a peer still sends until it has closed too, for a short while.
+/// Discards input until the peer has closed too, or until [`LINGER_TIMEOUT`].
 pub(super) async fn discard_input(shared: &Handle, stream: &Async<TcpStream>) {
     let discard = async {
         loop {
@@ -140,6 +142,7 @@
     let _ = with_timeout(LINGER_TIMEOUT, discard).await;
 }
 
+/// Logs the end of a connection and tells the node of it.
 fn report_end(shared: &Handle, conn: ConnId, peer: &str, reason: &str, end: ConnectionEnd) {
     shared.outboxes.borrow_mut().remove(&conn);
     let unanswered = shared.node.borrow().unanswered_on(conn);
@@ -147,6 +150,7 @@
     step(shared, |node, now, out| node.closed(now, conn, &end, out));
 }
 
+/// Connects to an edge server and runs the connection until it ends.
 pub(super) async fn dial_server(shared: Handle, conn: ConnId, address: SocketAddr, outbox: Rc<Outbox>) {
     let peer = format!("edge:{address}");
     let timeout = to_duration(shared.timings.get().connect);
@@ -160,10 +164,11 @@
             step(&shared, |node, now, out| node.opened(now, conn, out));
             let reason = drive(&shared, conn, &stream, &outbox, PeerKind::Server).await;
             if !outbox.is_empty() {
-                // What the machine holds would reach a slow server long after its end is taken as written.
+                // Discards what the kernel has buffered: it would reach a slow server long after the connection counts
+                // as ended.
                 let _ = set_socket_linger(stream.get_ref(), Some(Duration::ZERO));
             }
-            // The server hears of the end before the next attempts leave.
+            // Closes the socket first, so that the server learns of the end before further attempts are sent.
             drop(stream);
             report_end(&shared, conn, &peer, reason, connection_end(&outbox, reason));
         }
@@ -180,6 +185,7 @@
     }
 }
 
+/// Runs an accepted client connection until it ends.
 pub(super) async fn serve_client(
     shared: Handle,
     stream: Async<TcpStream>,
--- a/src/net/presence.rs
+++ b/src/net/presence.rs
@@ -1,9 +1,9 @@
-//! What lies in the machine's buffers already is heard before a set-up leaves.
+//! Handles input that is already in the kernel's buffers before a set-up is sent.
 //!
-//! A client that has gone, or a server that was taken off the list, is told by bytes that may have come while this
-//! process did something else or stood still. The order in which the sockets' readers have their turns says nothing
-//! of the order in which things happened, so the sockets that matter are read first. Between this and the write
-//! nothing else runs; what comes after it is later than the attempt.
+//! That a client has left, or that a server was taken off the list, is known from bytes that may have arrived while
+//! this process did something else or was stopped. The order in which the readers of the sockets run says nothing
+//! about the order in which the bytes arrived, so the sockets that may forbid a set-up are read first. Nothing else
+//! runs between this check and the write; bytes that arrive after it are later than the attempt.
 
 use std::net::TcpStream;
 
@@ -15,7 +15,7 @@
 use crate::api::SessionId;
 use crate::platform::links::{ConnId, ConnectionEnd};
 
-/// What came on a connection is told, and keeps one that was to be let go.
+/// Passes input of a connection to the node. Input cancels a close that was to happen only if the peer is quiet.
 pub(super) fn deliver(shared: &Handle, conn: ConnId, outbox: &Outbox, bytes: &[u8]) {
     if outbox.keep_open() {
         step(shared, |node, now, _| node.keep_open(now, conn));
@@ -23,7 +23,8 @@
     step(shared, |node, now, out| node.bytes(now, conn, bytes, out));
 }
 
-/// Tells what lies there on a connection; gives the reason's code if the peer has gone.
+/// Passes the input that has already arrived on a connection to the node. Returns the reason code if the peer has
+/// closed the connection.
 pub(super) fn deliver_available(
     shared: &Handle,
     conn: ConnId,
@@ -39,13 +40,14 @@
     })
 }
 
-/// The last look before a connection is let go: whether its client has said something that keeps it.
+/// Checks for input a last time before a connection is closed. Returns whether the connection stays open for now,
+/// because its client has sent something.
 pub(super) fn stays_open(shared: &Handle, conn: ConnId, stream: &Async<TcpStream>, outbox: &Outbox) -> bool {
     if outbox.is_closing() {
         return false;
     }
     deliver_available(shared, conn, stream, outbox);
-    // An answer that came of it is written first; then this look is taken again.
+    // An answer to that input is written first; then this check is repeated.
     let stays_open = outbox.close_reason().is_none() || !outbox.is_empty();
     if !stays_open {
         outbox.confirm_close();
@@ -53,25 +55,25 @@
     stays_open
 }
 
-/// How a connection ended, by the code of the reason and by what was still to be written.
+/// Returns how a connection ended, from the reason code and from what was still to be written.
 pub(super) fn connection_end(outbox: &Outbox, reason: &str) -> ConnectionEnd {
     let reset = matches!(reason, "reset" | "broken-pipe");
     ConnectionEnd::Ended { unsent: outbox.unsent_sessions(), unfinished: outbox.unfinished_sessions(), reset }
 }
 
-/// Hears a client out: what it said, and whether it has gone.
+/// Handles the input of a client that has already arrived, and its disconnection.
 pub(super) fn deliver_available_from_client(shared: &Handle, conn: ConnId) {
     let stream = shared.client_streams.borrow().get(&conn).cloned();
     let outbox = shared.outboxes.borrow().get(&conn).cloned();
     let (Some(stream), Some(outbox)) = (stream, outbox) else { return };
     if let Some(reason) = deliver_available(shared, conn, &stream, &outbox) {
-        // Its own driver finds the end too, and nothing left to tell of it.
+        // The connection's own task finds the end too, and then has nothing more to report to the node.
         let end = connection_end(&outbox, reason);
         step(shared, |node, now, out| node.closed(now, conn, &end, out));
     }
 }
 
-/// The last look at a set-up before it leaves on a server's connection. What may not leave is taken back.
+/// Checks a set-up a last time before it is sent to a server. A set-up that may no longer be sent is withdrawn.
 pub(super) fn confirm_set_up(shared: &Handle, conn: ConnId, id: SessionId) {
     let clients = shared.node.borrow().requesting_connections(id);
     for client in clients {
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -9,7 +9,7 @@
 use super::*;
 use crate::node::Protocol;
 
-/// What drivers share, as the example configuration has it.
+/// Returns the shared state of a process with the example configuration.
 fn shared_state() -> (Handle, Config) {
     let settings = include_str!("../../deploy/operator.toml");
     let config = Config::read(&toml::from_str(settings).unwrap()).unwrap();
@@ -17,7 +17,7 @@
     (shared, config)
 }
 
-/// A client's connection that was accepted.
+/// Accepts a client connection.
 fn accept_client(shared: &Handle, listener: &TcpListener) -> (ConnId, Async<TcpStream>, Rc<Outbox>) {
     let stream = Async::new(listener.accept().unwrap().0).unwrap();
     let outbox = Rc::new(Outbox::new(&shared.queue_limits.clients));
@@ -27,7 +27,7 @@
     (conn, stream, outbox)
 }
 
-/// A request of a class.
+/// Returns a set-up request of a class.
 fn set_up_line(class: &str) -> String {
     let fields =
         serde_json::json!({"class": class, "left": 500, "key": "k", "extras": "home:0;copies:1;top:0"});
@@ -36,8 +36,8 @@
     format!("{line}\n")
 }
 
-/// Seen on a day with bad clients: a message of 60 MB was read to its end, past the limit on memory, as the
-/// reader left its own writer no turn to end the connection.
+/// Guards against a reader that never yields: a message of 60 MB was read to its end, past the limit on memory,
+/// because the connection's writer had no turn to close the connection.
 #[test]
 fn closes_connection_within_three_reads_of_an_endless_message() {
     let (shared, _) = shared_state();
@@ -58,7 +58,8 @@
     assert!(sent - unread <= 3 * READ_BUFFER_BYTES, "{} of {sent} bytes read", sent - unread);
 }
 
-/// Guards against a close that destroys what the peer wrote before it saw it, such as the end of a session.
+/// Guards against a close that destroys what the peer wrote before it learned of the close, such as the end of a
+/// session.
 #[test]
 fn lingering_close_reads_what_the_peer_writes_before_it_closes() {
     let (shared, config) = shared_state();
@@ -67,18 +68,18 @@
     let (conn, stream, outbox) = accept_client(&shared, &listener);
     let class = config.names.classes[0].clone();
     let late_request = std::thread::spawn(move || {
-        assert_eq!(peer.read(&mut [0; 16]).unwrap(), 0, "it is told of the end first");
+        assert_eq!(peer.read(&mut [0; 16]).unwrap(), 0, "the peer sees the close first");
         peer.write_all(set_up_line(&class).as_bytes()).unwrap();
     });
     outbox.lingering_close("replaced");
     assert_eq!(async_io::block_on(drive(&shared, conn, &stream, &outbox, PeerKind::Server)), "replaced");
     drop(stream);
     late_request.join().unwrap();
-    assert_eq!(shared.node.borrow().held(), (1, 0), "the last words were heard");
+    assert_eq!(shared.node.borrow().held(), (1, 0), "the late request was handled");
 }
 
-/// A request lies in the buffer when its connection is to be let go: it is heard, and the connection stays. Seen to
-/// fail where the driver ends a connection without that look.
+/// Guards against a connection that is closed over a request in the receive buffer: the request is handled and the
+/// connection stays open. Fails if the connection is closed without the last check for input.
 #[test]
 fn close_if_quiet_handles_an_unread_request_and_stays_open() {
     let (shared, config) = shared_state();
@@ -89,8 +90,8 @@
     outbox.close_if_quiet("idle");
     drop(peer);
     assert_eq!(async_io::block_on(drive(&shared, conn, &stream, &outbox, PeerKind::Client)), "end-of-stream");
-    assert_eq!(shared.node.borrow().held(), (1, 0), "the request was heard before the end");
-    // With nothing more to hear a connection goes.
+    assert_eq!(shared.node.borrow().held(), (1, 0), "the request was handled before the end");
+    // A connection without unread input is closed.
     let peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let stream = Async::new(listener.accept().unwrap().0).unwrap();
     let outbox = Rc::new(Outbox::new(&shared.queue_limits.clients));
