--- a/src/net/outbox.rs
+++ b/src/net/outbox.rs
@@ -1,4 +1,4 @@
-//! What waits to be written on one connection.
+//! The bounded write queue of one connection, and the ways to close the connection.
 
 mod bell;
 mod piece;
@@ -14,31 +14,31 @@
 pub use bell::Notify;
 use piece::{MessageKind, QueuedMessage};
 
-/// Pieces of one gathered write.
+/// The most messages in one vectored write.
 const MAX_MESSAGES_PER_WRITE: usize = 64;
 
-/// What was written whole in one turn.
+/// The messages that one write has completed.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Completed {
-    /// Set-ups, or answers.
+    /// Sessions whose set-up or answer is completely written.
     pub sessions: Vec<SessionId>,
-    /// Ends of attempts that were given up.
+    /// Sessions for which the release of a withdrawn attempt is completely written.
     pub withdrawals: Vec<SessionId>,
 }
 
-/// The bounded queue of one connection.
+/// The bounded write queue of one connection.
 #[derive(Debug, Default)]
 pub struct Outbox {
     queue: RefCell<VecDeque<QueuedMessage>>,
-    /// Bytes of the first piece that are written.
+    /// The number of bytes of the first message that are written.
     written_of_first: Cell<usize>,
     queued_bytes: QueuedBytes,
     close_reason: Cell<Option<&'static str>>,
-    /// What the peer writes before it closes too is still wanted.
+    /// Whether input is still handled after the close, until the peer has closed too.
     lingers: Cell<bool>,
-    /// Whatever the peer still says keeps the connection.
+    /// Whether any input from the peer cancels the close.
     closes_if_quiet: Cell<bool>,
-    /// Nothing more is written, whatever is queued.
+    /// Whether the connection ends without writing what is queued.
     is_aborted: Cell<bool>,
     abort_notify: Notify,
     has_written: Cell<bool>,
@@ -46,28 +46,29 @@
 }
 
 impl Outbox {
-    /// An empty one, for its part of what may wait on all connections of its kind.
+    /// Creates an empty queue under the common limit for connections of its kind.
     pub fn new(limit: &Rc<QueueLimit>) -> Outbox {
         Outbox { queued_bytes: QueuedBytes::new(limit), ..Outbox::default() }
     }
 
-    /// Why the connection is to end, if it is.
+    /// Returns the reason for which the connection is to be closed, if it is.
     pub fn close_reason(&self) -> Option<&'static str> {
         self.close_reason.get()
     }
 
-    /// Whether the connection is to end and what comes in is not wanted any more.
+    /// Whether the connection is to be closed and input is discarded.
     pub fn is_closing(&self) -> bool {
         self.close_reason.get().is_some() && !self.is_lingering() && !self.closes_if_quiet.get()
     }
 
-    /// Ends the connection once all is written, unless the peer says something before.
+    /// Closes the connection once all is written, unless the peer sends something before.
     pub fn close_if_quiet(&self, reason: &'static str) {
         self.closes_if_quiet.set(self.close_reason.get().is_none());
         self.close(reason);
     }
 
-    /// The peer has said something: a connection that was to be let go stays. False for others.
+    /// Cancels a close that [`Outbox::close_if_quiet`] began, as the peer has sent something. Returns whether there
+    /// was one.
     pub fn keep_open(&self) -> bool {
         let stays = self.closes_if_quiet.take();
         if stays {
@@ -76,32 +77,33 @@
         stays
     }
 
-    /// Nothing came before the end of a connection that was to be let go: from now on nothing is heard there.
+    /// Makes a close that [`Outbox::close_if_quiet`] began final, as the peer has sent nothing: from now on input is
+    /// discarded.
     pub fn confirm_close(&self) {
         self.closes_if_quiet.set(false);
     }
 
-    /// Whether the connection is to end once the peer has closed it too.
+    /// Whether the connection is to be closed once the peer has closed it too.
     pub fn is_lingering(&self) -> bool {
         self.lingers.get() && !self.is_aborted.get()
     }
 
-    /// Whether nothing waits to be written.
+    /// Whether no message is queued.
     pub fn is_empty(&self) -> bool {
         self.queue.borrow().is_empty()
     }
 
-    /// Whether anything was written.
+    /// Whether any byte was written on the connection.
     pub fn has_written(&self) -> bool {
         self.has_written.get()
     }
 
-    /// Queues a piece; a set-up's or an answer's is marked by its session.
+    /// Queues a message. The message is a set-up or an answer if a session is given.
     pub fn push(&self, bytes: Vec<u8>, session: Option<SessionId>) {
         self.enqueue(QueuedMessage { bytes, kind: session.map_or(MessageKind::Plain, MessageKind::Session) });
     }
 
-    /// Queues the end of a session.
+    /// Queues the message that ends a session.
     pub fn push_session_end(&self, bytes: Vec<u8>) {
         self.enqueue(QueuedMessage { bytes, kind: MessageKind::SessionEnd });
     }
@@ -116,7 +118,8 @@
         self.changed.notify();
     }
 
-    /// Whether the next write may begin an answer or the end of a session.
+    /// Whether the next write may begin an answer or the end of a session. A write looks at the first
+    /// [`MAX_MESSAGES_PER_WRITE`] messages.
     pub fn may_begin_answer_or_end(&self) -> bool {
         self.queue
             .borrow()
@@ -125,14 +128,14 @@
             .any(|message| matches!(message.kind, MessageKind::SessionEnd | MessageKind::Session(_)))
     }
 
-    /// Takes the ends of sessions that were not written whole.
+    /// Takes the ends of sessions that are not completely written, so that they can be sent on another connection.
     pub fn take_session_ends(&self) -> Vec<Vec<u8>> {
         let mut queue = self.queue.borrow_mut();
         let ends = queue.iter_mut().filter(|message| message.kind == MessageKind::SessionEnd);
         ends.map(|message| std::mem::take(&mut message.bytes)).collect()
     }
 
-    /// Set-ups that the next write may begin.
+    /// Returns the sessions whose set-up or answer the next write may begin.
     pub fn set_ups_in_next_write(&self) -> Vec<SessionId> {
         let begun = usize::from(self.written_of_first.get() > 0);
         let queue = self.queue.borrow();
@@ -141,12 +144,12 @@
 
     fn abort_on_overflow(&self) {
         if self.queued_bytes.exceeds_limit() {
-            // Memory is short, and the peer reads too slowly for what it is told.
+            // The memory for queues is used up, and this peer reads more slowly than messages are queued for it.
             self.abort("overflow");
         }
     }
 
-    /// Ends the connection at once.
+    /// Closes the connection at once, without writing what is queued.
     pub fn abort(&self, reason: &'static str) {
         self.close(reason);
         self.closes_if_quiet.set(false);
@@ -154,13 +157,13 @@
         self.abort_notify.notify();
     }
 
-    /// Waits until the connection is to end at once, also while a write waits for the peer; gives the reason.
+    /// Waits until the connection is aborted, also while a write waits for the peer. Returns the reason to close.
     pub async fn aborted(&self) -> &'static str {
         self.abort_notify.notified().await;
         self.close_reason.get().unwrap_or_default()
     }
 
-    /// Ends the connection once all is written.
+    /// Closes the connection once all is written. The first reason is kept.
     pub fn close(&self, reason: &'static str) {
         if self.close_reason.get().is_none() {
             self.close_reason.set(Some(reason));
@@ -168,13 +171,13 @@
         self.changed.notify();
     }
 
-    /// Ends the connection once all is written and the peer has closed too.
+    /// Closes the connection once all is written and the peer has closed too, and handles input until then.
     pub fn lingering_close(&self, reason: &'static str) {
         self.lingers.set(self.close_reason.get().is_none());
         self.close(reason);
     }
 
-    /// Waits until there is something to write; a reason ends the connection instead.
+    /// Waits until there is something to write, or until the connection is to be closed now: then returns the reason.
     pub async fn ready(&self) -> Option<&'static str> {
         loop {
             match self.close_reason.get() {
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Hands what is queued to one gathered write.
+    /// Passes the queued messages to one vectored write.
     pub fn write_queued(&self, write: impl FnOnce(&[IoSlice<'_>]) -> io::Result<usize>) -> io::Result<usize> {
         let queue = self.queue.borrow();
         let from = |i: usize| if i == 0 { self.written_of_first.get() } else { 0 };
@@ -198,7 +201,7 @@
         write(&slices)
     }
 
-    /// So many bytes were written; gives what was written whole with them.
+    /// Removes `n` written bytes from the queue. Returns the messages that were completed by them.
     pub fn advance(&self, mut n: usize) -> Completed {
         let mut completed = Completed::default();
         let mut queue = self.queue.borrow_mut();
@@ -219,13 +222,13 @@
         completed
     }
 
-    /// Set-ups of which not a byte was written.
+    /// Returns the sessions whose set-up or answer is queued with no byte written.
     pub fn unsent_sessions(&self) -> Vec<SessionId> {
         let begun = usize::from(self.written_of_first.get() > 0);
         self.queue.borrow().iter().skip(begun).filter_map(QueuedMessage::session).collect()
     }
 
-    /// Marks of all that was not written whole.
+    /// Returns the sessions whose set-up or answer is not completely written.
     pub fn unfinished_sessions(&self) -> Vec<SessionId> {
         self.queue.borrow().iter().filter_map(QueuedMessage::session).collect()
     }
--- a/src/net/outbox/bell.rs
+++ b/src/net/outbox/bell.rs
@@ -1,10 +1,10 @@
-//! The bell that wakes a task.
+//! A notification that wakes a waiting task.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::task::{Poll, Waker};
 
-/// Wakes one waiter; a ring before the wait is not lost.
+/// Notifies one waiting task. A notification that comes before the wait is stored and not lost.
 #[derive(Debug, Default)]
 pub struct Notify {
     is_set: Cell<bool>,
@@ -12,7 +12,7 @@
 }
 
 impl Notify {
-    /// Rings it.
+    /// Stores a notification and wakes the waiting task.
     pub fn notify(&self) {
         self.is_set.set(true);
         if let Some(waker) = self.waker.borrow_mut().take() {
@@ -20,12 +20,12 @@
         }
     }
 
-    /// Whether it rang and nobody has heard it; it is heard with this.
+    /// Takes the stored notification. Returns whether there was one.
     pub fn take(&self) -> bool {
         self.is_set.take()
     }
 
-    /// Waits for the next ring.
+    /// Waits for a notification and takes it.
     pub async fn notified(&self) {
         poll_fn(|context| {
             if self.is_set.take() {
--- a/src/net/outbox/piece.rs
+++ b/src/net/outbox/piece.rs
@@ -1,21 +1,21 @@
-//! A part of what waits on a connection.
+//! A message in the write queue of a connection.
 
 use crate::api::SessionId;
 
-/// What a part is, as far as its fate matters.
+/// The kind of a queued message, as far as it matters whether the message is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MessageKind {
-    /// Nothing that is looked for again.
+    /// A message that nothing looks for later.
     Plain,
-    /// The set-up of a session, or the answer that it stands.
+    /// The set-up of a session, or the answer that the session is established.
     Session(SessionId),
-    /// The end of an attempt that was given up.
+    /// The release of an attempt that was withdrawn.
     Withdrawal(SessionId),
-    /// The end of a session, which is told elsewhere if it can't be told here.
+    /// The end of a session, which is sent on another connection if it can't be sent on this one.
     SessionEnd,
 }
 
-/// What waits to be written as one.
+/// A message that waits to be written.
 #[derive(Debug)]
 pub(super) struct QueuedMessage {
     pub(super) bytes: Vec<u8>,
@@ -23,7 +23,7 @@
 }
 
 impl QueuedMessage {
-    /// The session whose set-up or answer it is.
+    /// Returns the session whose set-up or answer the message is.
     pub(super) fn session(&self) -> Option<SessionId> {
         match self.kind {
             MessageKind::Session(id) => Some(id),
--- a/src/net/outbox/tests.rs
+++ b/src/net/outbox/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// What the next write is given.
+/// Returns the bytes that the next write is given.
 fn next_write(outbox: &Outbox) -> Vec<u8> {
     let mut bytes = Vec::new();
     let write = |slices: &[IoSlice<'_>]| {
@@ -25,7 +25,7 @@
     assert!(outbox.unsent_sessions().is_empty());
 }
 
-/// Guards against a set-up that is written on a connection that is already given up.
+/// Guards against a set-up that is written on a connection that was already aborted.
 #[test]
 fn close_writes_queued_messages_and_abort_does_not() {
     let outbox = Outbox::new(&QueueLimit::new(100, 1));
@@ -46,13 +46,13 @@
     }
     outbox.advance(1);
     assert_eq!(outbox.set_ups_in_next_write(), [SessionId(2), SessionId(3)]);
-    assert!(!outbox.withdraw(SessionId(1)), "it has begun");
+    assert!(!outbox.withdraw(SessionId(1)), "its first byte is written");
     assert!(outbox.withdraw(SessionId(2)) && !outbox.withdraw(SessionId(2)));
     assert_eq!(outbox.advance(19).sessions, [SessionId(1), SessionId(3)]);
     assert!(outbox.is_empty());
 }
 
-/// Guards against a connection that waits for ever for what was taken back before it closes.
+/// Guards against a connection that never closes because it waits for a message that was withdrawn.
 #[test]
 fn close_is_due_once_the_last_queued_message_is_withdrawn() {
     let outbox = Outbox::new(&QueueLimit::new(100, 1));
@@ -63,7 +63,7 @@
     assert_eq!(futures_lite::future::block_on(outbox.ready()), Some("done"));
 }
 
-/// Guards against a server that is asked to set up for others before it hears that a half written set-up is over.
+/// Guards against a server that is sent further set-ups before it learns that a half written one is released.
 #[test]
 fn queues_release_behind_its_half_written_set_up_and_before_unwritten_set_ups() {
     let outbox = Outbox::new(&QueueLimit::new(100, 1));
@@ -71,7 +71,7 @@
         outbox.push(vec![n; 4], Some(SessionId(u64::from(n))));
     }
     outbox.advance(6);
-    // The first was written whole, the second by half.
+    // The first is completely written, the second by half.
     outbox.push_release(vec![101], SessionId(1));
     outbox.push_release(vec![102], SessionId(2));
     assert_eq!(next_write(&outbox), [2, 2, 102, 101, 3, 3, 3, 3]);
@@ -99,7 +99,7 @@
     outbox.push(vec![2; 4], None);
     outbox.push_session_end(vec![3; 4]);
     assert!(outbox.may_begin_answer_or_end());
-    // The first was written whole, the second is no end, of the third a part was written.
+    // The first is completely written, the second is no session end, the third is partly written.
     assert_eq!(outbox.advance(10), Completed::default());
     assert_eq!(outbox.take_session_ends(), [vec![3; 4]]);
 }
