--- a/src/net/board.rs
+++ b/src/net/board.rs
@@ -1,4 +1,4 @@
-//! Follows the notice board, wherever the configuration says it is.
+//! Follows the notice board at the address that the configuration names, and passes on the server lists that it sends.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -15,10 +15,10 @@
 use crate::mutant::{self, Mutant};
 use crate::roster::Source;
 
-/// Time before the next try in a wrong way of the program.
+/// The time before the next connection attempt in the mutant that retries too late.
 const LATE_RETRY: Micros = Micros(20_000_000);
 
-/// Follows the notice board, wherever the configuration says it is.
+/// Follows the notice board for as long as the process runs: reconnects after an end, and when the address changes.
 pub(super) async fn follow_board(shared: Handle) {
     loop {
         let Some(address) = shared.board_address.get() else {
@@ -42,14 +42,14 @@
             let retry = if mutant::on(Mutant::LateRetry) { LATE_RETRY } else { board::RETRY };
             Timer::after(to_duration(retry)).await;
         };
-        // A new address is asked at once, also in the middle of a dial or of the wait before the next.
+        // A new address is used at once, also during a connection attempt or the wait before the next one.
         future::or(address_changed, keep_following).await;
-        // What the old place still says is not heard.
+        // Nothing more is read from the old address.
         *shared.board_stream.borrow_mut() = None;
     }
 }
 
-/// Follows the board on one connection; gives why it ended.
+/// Follows the board on one connection. Returns the reason code of its end.
 async fn follow_connection(shared: &Handle, address: SocketAddr) -> io::Result<&'static str> {
     let connected =
         with_timeout(to_duration(shared.timings.get().board_connect), Async::<TcpStream>::connect(address))
@@ -60,7 +60,8 @@
     shared.board_end_reason.set(None);
     *shared.board_stream.borrow_mut() = Some(stream.clone());
     loop {
-        // What was heard out before a set-up counts too: the wait is for what is whole, however it was heard.
+        // The timeout is for a complete message. It is also extended by messages that were read before a set-up was
+        // sent, not only by those that were read here.
         let until = shared.board.borrow().awaited_until();
         match with_timeout(to_duration(until - shared.now()), stream.readable()).await {
             Ok(()) => {}
@@ -77,7 +78,8 @@
     }
 }
 
-/// Hears what the board has said so far, without waiting. An end is left to whoever follows it.
+/// Reads and handles what the board has sent so far, without waiting. The end of the connection is recorded for the
+/// task that follows the board.
 pub(super) fn deliver_available(shared: &Handle) {
     let Some(stream) = shared.board_stream.borrow().clone() else { return };
     if shared.board_end_reason.get().is_some() {
@@ -91,6 +93,7 @@
     }
 }
 
+/// Parses bytes from the board and offers the server lists that they complete to the roster.
 fn deliver(shared: &Handle, bytes: &[u8]) -> Result<(), BoardError> {
     let mut updates = Vec::new();
     let read = shared.board.borrow_mut().bytes(shared.now(), bytes, &mut updates);
--- a/src/net/console.rs
+++ b/src/net/console.rs
@@ -1,4 +1,4 @@
-//! The second address: callers' connections, each read until its call is whole, answered and ended.
+//! The console address: each connection is read until its call is complete, answered, and closed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,16 +18,16 @@
 use super::{Handle, step, to_duration};
 use crate::operate::console::{BadCall, CALL_TIMEOUT, Call, CallerId, Callers, Line};
 
-/// Time between looks for a descriptor that is free again.
+/// The time between checks whether a console connection has freed its descriptor.
 const DESCRIPTOR_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Who is connected, each with the bell that ends its wait.
+/// The callers whose call is incomplete, each with the notification that evicts it.
 struct CallerTable {
     callers: Callers,
     evictions: BTreeMap<CallerId, Rc<Notify>>,
 }
 
-/// Reads until a call is whole.
+/// Reads until a call is complete.
 async fn read_call(shared: &Handle, stream: &Async<TcpStream>) -> Result<Call, BadCall> {
     let mut line = Line::default();
     loop {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Answers one caller.
+/// Reads one caller's call, answers it and closes the connection.
 async fn serve_caller(
     shared: Handle,
     table: Rc<RefCell<CallerTable>>,
@@ -75,12 +75,12 @@
     if with_timeout(WRITE_TIMEOUT, writer.write_all(answer.as_bytes())).await.is_err() {
         return;
     }
-    // Closing a socket with unread input would reset the connection, and the answer with it.
+    // Closing a socket with unread input would reset the connection and destroy the answer.
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     discard_input(&shared, &stream).await;
 }
 
-/// Lets callers in as long as the program runs.
+/// Accepts and serves callers for as long as the process runs.
 pub(super) async fn serve_console(shared: Handle, listener: Async<TcpListener>) {
     let table = Rc::new(RefCell::new(CallerTable {
         callers: Callers::new(shared.budget.console / 2),
@@ -88,7 +88,7 @@
     }));
     let connection_count = Rc::new(Cell::new(0));
     loop {
-        // Those that were answered hold their descriptor until they have closed too.
+        // A connection that was answered holds its descriptor until the caller has closed it too.
         while connection_count.get() >= shared.budget.console {
             Timer::after(DESCRIPTOR_POLL_INTERVAL).await;
         }
@@ -117,7 +117,7 @@
             connection_count.set(connection_count.get() - 1);
         };
         shared.executor.spawn(serve).detach();
-        // It may have written already: it has its turn before the next one comes.
+        // The caller may have written already: its task runs before the next connection is accepted.
         future::yield_now().await;
     }
 }
--- a/src/net/ending.rs
+++ b/src/net/ending.rs
@@ -1,4 +1,4 @@
-//! The end of a process that was told to end: carries the plan's steps out, and tells in the log what is waited for.
+//! Shutdown of the process: executes the steps of the shutdown plan, and logs what the process still waits for.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,28 +13,29 @@
 use crate::node::{HeldRequest, Remaining};
 use crate::operate::planned_end::{KillPolicy, RemainingWork, ShutdownPlan, Step};
 
-/// Time between two looks at what is left.
+/// The time between checks of the remaining work.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time between two reports.
+/// The time between log reports of the remaining work.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// Requests that one report names at most.
+/// The most requests that one report lists.
 const MAX_REPORTED_REQUESTS: usize = 8;
 
-/// What is to end.
+/// What is to be shut down.
 pub(super) struct Shutdown {
-    /// Clients of the platform are served.
+    /// Whether this process serves clients of the platform.
     pub(super) serves_platform: bool,
-    /// The processes before and after this one.
+    /// The hand-over with the process before and the one after this one.
     pub(super) handover: Option<Rc<Handover>>,
-    /// Tasks that accept connections, and the bells that tell them of the last call.
+    /// The tasks that accept connections, and the notifications that tell them to stop.
     pub(super) accept_tasks: Vec<Task<()>>,
     pub(super) stop_accepting: Vec<Rc<Notify>>,
-    /// Takes this process out of the registry.
+    /// The task that deregisters this process when it is stopped.
     pub(super) registry: Option<Task<()>>,
 }
 
 impl Shutdown {
+    /// Returns the work that the plan waits for.
     fn remaining_work(&self, shared: &Handle) -> RemainingWork {
         let Remaining { unanswered, playing, unheard_ends, .. } = shared.node.borrow().remaining();
         let registered = self.registry.as_ref().is_some_and(|task| !task.is_finished());
@@ -49,7 +50,7 @@
     }
 }
 
-/// Ends the process by the plan; returns when it may exit.
+/// Shuts the process down as planned. Returns when it may exit.
 pub(super) async fn shut_down(shared: &Handle, shutdown: Shutdown) {
     let longest_deadline = || shared.timings.get().longest_deadline;
     let kill_policy = if shutdown.serves_platform {
@@ -72,7 +73,8 @@
             info!(event = "ending.step", step = ?next, left_ms);
             match next {
                 Step::LastCall => shutdown.stop_accepting.iter().for_each(|stop| stop.notify()),
-                // Nothing runs between the count and this: what comes from here on is turned away.
+                // Nothing else runs between the count of the remaining work and this step: a request that comes from
+                // now on is refused.
                 Step::CloseDoors => step(shared, |node, _, out| node.start_refusing(out)),
                 Step::Release => step(shared, |node, now, out| node.end(now, out)),
                 Step::Exit => {
@@ -86,7 +88,7 @@
     }
 }
 
-/// Tells, again and again, what keeps the process up.
+/// Logs at regular intervals what the process still waits for.
 async fn report_periodically(shared: Handle, plan: ShutdownPlan) {
     loop {
         log_remaining(&shared, plan);
@@ -94,7 +96,7 @@
     }
 }
 
-/// Tells once what keeps the process up.
+/// Logs once what the process still waits for.
 fn log_remaining(shared: &Handle, plan: ShutdownPlan) {
     let Remaining { unanswered, playing, clients, unheard_ends } = shared.node.borrow().remaining();
     let unwritten = shared.outboxes.borrow().values().filter(|outbox| !outbox.is_empty()).count();
--- a/src/net/inherit.rs
+++ b/src/net/inherit.rs
@@ -1,4 +1,4 @@
-//! A listening socket that the platform holds and every process inherits.
+//! The listening socket that the platform holds open and each process inherits.
 
 use std::io;
 use std::net::TcpListener;
@@ -6,8 +6,8 @@
 use rustix::net::sockopt::socket_acceptconn;
 use rustix::process::{PidfdFlags, PidfdGetfdFlags, getpid, pidfd_getfd, pidfd_open};
 
-/// Duplicates the inherited descriptor, as the system's number alone is nothing that safe code may own: the process
-/// asks for it as it would ask for another's.
+/// Duplicates the inherited descriptor. Safe code can't take ownership of a bare descriptor number, so the descriptor
+/// is duplicated through a pidfd of this process, as it would be from another process.
 pub(super) fn inherited_listener(descriptor: i32) -> io::Result<TcpListener> {
     let invalid = |what: &str| {
         io::Error::new(io::ErrorKind::InvalidInput, format!("LB_SOCKET_FD: descriptor {descriptor}: {what}"))
--- a/src/net/registry.rs
+++ b/src/net/registry.rs
@@ -1,4 +1,4 @@
-//! Calls to the registry, each on a connection of its own.
+//! Calls to the Eureka registry, each on its own connection.
 
 use std::io;
 use std::net::TcpStream;
@@ -16,10 +16,10 @@
 use crate::http::client;
 use crate::roster::Source;
 
-/// A call to the registry that takes longer has failed.
+/// The time after which a call to the registry counts as failed.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// One call to the registry, on a connection of its own.
+/// Sends one call to the registry on a new connection, and passes the reply on.
 async fn send_call(shared: &Handle, registry: &mut Eureka, call: Call) {
     let address = registry.address();
     let work = async {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Takes part in the registry until the bell rings, then leaves it.
+/// Registers with the registry and fetches its server list until told to stop, then deregisters.
 pub(super) async fn run_registry(shared: Handle, mut registry: Eureka, stop: Rc<Notify>) {
     loop {
         match registry.next(shared.now()) {
--- a/src/net/run.rs
+++ b/src/net/run.rs
@@ -1,4 +1,4 @@
-//! One process from its start to its end.
+//! Runs one broker process from its start to its end.
 
 use std::cell::RefCell;
 use std::io;
@@ -31,21 +31,23 @@
 use crate::roster::{ListUpdate, Source};
 use crate::rules::standing::LocalRules;
 
-/// Time between counts that the quorum is told.
+/// The time between reports of the node's counts to the quorum.
 const COUNT_INTERVAL: Duration = Duration::from_millis(250);
 
+/// Binds a listening socket. An error names the setting that holds the address.
 fn bind(field: &str, address: SocketAddr) -> io::Result<Async<TcpListener>> {
     Async::<TcpListener>::bind(address)
         .map_err(|e| io::Error::new(e.kind(), format!("{field}: can't listen on {address}: {e}")))
 }
 
+/// Logs the address of a listening socket.
 fn log_listening(name: &str, listener: &Async<TcpListener>, front: &str) -> io::Result<()> {
     let address = listener.get_ref().local_addr()?;
     info!(event = "listens", name, address = %address, front, "{name} listens on {address} for {front}");
     Ok(())
 }
 
-/// Waits until this process has nothing left to do, as another serves in its place.
+/// Waits until this process has nothing left to do because another process serves in its place.
 async fn wait_until_finished(handover: Option<&Rc<Handover>>) {
     match handover {
         Some(handover) => handover.finished.notified().await,
@@ -53,7 +55,7 @@
     }
 }
 
-/// Tells the quorum what the node counts.
+/// Reports the node's counts to the quorum at regular intervals.
 async fn report_counts(shared: Handle, quorum: Rc<quorum::Quorum>) {
     loop {
         let counts = shared.node.borrow().counts();
@@ -62,14 +64,14 @@
     }
 }
 
-/// What listens for clients: the tasks that accept, and the bells that tell them of the last call.
+/// The tasks that accept client connections, and the notifications that tell them to stop.
 #[derive(Default)]
 struct ClientListeners {
     accept_tasks: Vec<Task<()>>,
     stop_accepting: Vec<Rc<Notify>>,
 }
 
-/// Begins to hear of servers from all sources that the configuration names.
+/// Starts to take server lists from all sources that the configuration names.
 fn start_discovery(
     shared: &Handle,
     config: &Config,
@@ -90,7 +92,7 @@
     watched
 }
 
-/// Opens the clients' sockets, those that the platform holds or those of this process's own.
+/// Opens the listening sockets for clients: takes the inherited one if the platform holds it, else binds it.
 fn open_client_listeners(
     shared: &Handle,
     config: &Config,
@@ -110,7 +112,7 @@
         let handover = handover.filter(|_| inherited.is_some()).cloned();
         let stop = Rc::new(Notify::default());
         listeners.stop_accepting.push(stop.clone());
-        // Where the platform holds the socket too, what waits there is for the next process.
+        // If the platform holds the socket too, the connections that wait there are left to the next process.
         let outlives_process = inherited.is_some();
         let client_listener = ClientListener { listener, protocol, handover, stop, outlives_process };
         listeners.accept_tasks.push(shared.executor.spawn(accept_clients(shared.clone(), client_listener)));
@@ -118,6 +120,7 @@
     Ok(listeners)
 }
 
+/// Opens the console's listening socket, if the configuration names one.
 fn open_console(shared: &Handle, config: &Config) -> io::Result<()> {
     let Some(address) = config.console else { return Ok(()) };
     let listener = bind("console", address)?;
@@ -126,7 +129,7 @@
     Ok(())
 }
 
-/// Takes part in the quorum, if the configuration names one; what it agrees on goes to the node.
+/// Joins the quorum, if the configuration names one, and passes its decisions to the node.
 fn join_quorum(shared: &Handle, config: &Config) -> io::Result<Option<Rc<quorum::Quorum>>> {
     let Some(quorum_config) = &config.quorum else { return Ok(None) };
     let incarnation = Incarnation(unix_now().0);
@@ -149,8 +152,8 @@
     Ok(Some(quorum))
 }
 
-/// Serves until it is told to stop. `trace` lines a second at most tell of requests in the log; `reread` gives the
-/// configuration anew when that is asked for.
+/// Serves until the process is told to stop or another process has taken over. At most `max_trace_lines_per_s` lines a
+/// second trace requests in the log. `read_config` reads the configuration again for a reload.
 pub fn run(
     config: &Config,
     max_trace_lines_per_s: u32,
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: a new configuration, and the end.
+//! Handles signals: SIGHUP reloads the configuration, SIGTERM and SIGINT stop the process.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,12 +16,12 @@
 use crate::records::Findings;
 use crate::roster::{ListUpdate, ListedServer, Source};
 
-/// A fixed list, as a whole.
+/// Returns an update that replaces the whole server list.
 pub(super) fn complete_list(servers: Vec<ListedServer>) -> ListUpdate {
     ListUpdate { kind: ListKind::Complete, servers }
 }
 
-/// Takes a new configuration in; one that can't work is logged, and the old one stays.
+/// Applies a new configuration. An invalid one is logged, and the old one stays in force.
 fn reload(shared: &Handle, old: &mut Config, config: Result<Config, Findings>) {
     let new = match config {
         Ok(new) => new,
@@ -30,10 +30,10 @@
             return warn!(event = "reload refused", problem = %problem);
         }
     };
-    // A file that is not whole is none: nothing of it is taken.
+    // A file that lacks a field that the one in force has may be incomplete: nothing of it is applied.
     if let Some(field) = missing(&old.raw, &new.raw).filter(|_| !old.raw.is_null()) {
         shared.node.borrow_mut().reread(false);
-        return warn!(event = "reload refused", problem = %format_args!("{field}: missing, though the file in force has it"));
+        return warn!(event = "reload refused", problem = %format_args!("{field}: missing, but set in the configuration in force"));
     }
     let mut unchangeable = old.fixed(&new);
     unchangeable.extend(step(shared, |node, now, out| node.reload(now, &new, out)));
@@ -43,7 +43,7 @@
     let updates = if new.board.is_some() || new.known == old.known {
         shared.board.borrow_mut().known(&new.known)
     } else {
-        // A list without a board has no numbers: it is taken as a whole.
+        // A list from the configuration alone has no event numbers: it replaces the whole list.
         Board::new(old.names.clone(), &new.known).1
     };
     let timings = shared.node.borrow().timings();
@@ -62,7 +62,7 @@
     info!(event = "reloaded", last = shared.board.borrow().last());
 }
 
-/// Hears the signals as long as the program runs: SIGHUP reloads, the first of the others rings to stop.
+/// Handles signals for as long as the process runs: SIGHUP reloads, any other signal requests the shutdown.
 pub(super) async fn handle_signals(
     shared: Handle,
     mut signals: Signals,
@@ -79,10 +79,10 @@
                 files.iter().for_each(files::request_read);
             }
             signal => {
-                // Tests fail from the moment that the log tells of it.
+                // The node stops before the log line is written, so that health checks fail from that line on.
                 step(&shared, |node, now, out| node.stop(now, out));
                 info!(event = "stopping", signal = ?signal);
-                // Duties go to others at once, before anything else is waited for.
+                // The quorum's duties are released at once, before the shutdown waits for anything.
                 quorum.iter().for_each(|quorum| quorum.drain());
                 stop_requested.notify();
             }
