--- a/src/net/handover/gate.rs
+++ b/src/net/handover/gate.rs
@@ -1,4 +1,5 @@
-//! The gate before the clients' listening socket, which another process may hold open too.
+//! A gate that lets clients' connections be accepted only while this process serves: another process may hold the
+//! listening socket open too.
 
 use std::cell::Cell;
 
@@ -12,19 +13,20 @@
 }
 
 impl Gate {
+    /// Opens or closes the gate.
     pub(super) fn set(&self, open: bool) {
         self.is_open.set(open);
         self.changed.notify();
     }
 
-    /// Waits until it is open.
+    /// Waits until the gate is open.
     pub(in crate::net) async fn wait_until_open(&self) {
         while !self.is_open.get() {
             self.changed.notified().await;
         }
     }
 
-    /// Waits until it is closed.
+    /// Waits until the gate is closed.
     pub(in crate::net) async fn wait_until_closed(&self) {
         while self.is_open.get() {
             self.changed.notified().await;
--- a/src/net/handover/meeting.rs
+++ b/src/net/handover/meeting.rs
@@ -1,4 +1,4 @@
-//! The meeting point: where a process finds the one before it, and the conversation of the two.
+//! The Unix socket at which a process finds the one before it, and the exchange of messages between the two.
 
 use std::io::{self, Read as _, Write as _};
 use std::os::unix::fs::{MetadataExt as _, PermissionsExt as _};
@@ -18,7 +18,8 @@
 use crate::operate::handover::giver::TakeoverConn;
 use crate::operate::handover::{Message, Reader};
 
-/// Where the processes of one broker meet. A path that the system can't take for a socket is made shorter.
+/// Returns the path of the socket at which the processes of one broker meet. The broker's name in it is limited to 24
+/// characters, as the system limits the length of a socket's path; a digest keeps the path unique.
 pub(in crate::net) fn socket_path(folder: &Path, name: &str) -> PathBuf {
     let safe_char = |c: char| if c.is_ascii_alphanumeric() || "-_.".contains(c) { c } else { '_' };
     let digest = blake3::hash(name.as_bytes()).to_hex();
@@ -26,8 +27,8 @@
     folder.join(format!("as-{name}-{}.sock", &digest[..8]))
 }
 
-/// Connects to whoever is at the meeting point; none: nobody is. An error: somebody is there and can't be reached now,
-/// as one that is stopped with a full queue.
+/// Connects to the process that listens on the socket. Returns `None` if no process listens there, and an error if one
+/// does but can't be reached now, such as a stopped process with a full accept queue.
 pub(super) async fn try_connect(path: &Path) -> io::Result<Option<Async<UnixStream>>> {
     match with_timeout(WRITE_TIMEOUT, Async::<UnixStream>::connect(path)).await {
         Ok(stream) => Ok(Some(stream)),
@@ -36,7 +37,7 @@
     }
 }
 
-/// Which file a path leads to, whatever its name: the device and the number on it.
+/// The identity of a file, whatever its name: its device and inode numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct FileId(u64, u64);
 
@@ -46,8 +47,8 @@
     }
 }
 
-/// Reads and writes until the connection ends. What can't be read is not acted on, but the connection stays: its end
-/// tells of the other process' end.
+/// Reads and writes messages until the connection ends. Returns the reason code of its end. Messages that can't be
+/// parsed are ignored and the connection stays open, as its end is the sign that the other process has ended.
 pub(super) async fn exchange_messages(
     stream: &Async<UnixStream>,
     outbox: &Outbox,
@@ -77,8 +78,8 @@
     future::or(write, read).await
 }
 
-/// Takes this process' place at the meeting point, where the next one asks. The name goes over in one step, so that
-/// who asks meets either the old process or this one.
+/// Listens on the socket, where the next process asks to take over. The socket is bound under another name and
+/// renamed, so that a process that connects meantime reaches either the old process or this one.
 pub(super) fn listen(shared: &Handle, handover: &Rc<Handover>) {
     let path = &handover.socket_path;
     let own_path = path.with_extension(format!("{}", std::process::id()));
@@ -103,7 +104,8 @@
     }
 }
 
-/// Hears those that ask, also once it has yielded: until the next one is there, who asks must not find nobody.
+/// Serves the processes that ask to take over. This goes on after this process has yielded, so that a process that
+/// asks finds one at the socket until the successor listens there.
 async fn accept_takeovers(shared: Handle, handover: Rc<Handover>, listener: Async<UnixListener>) {
     loop {
         let stream = match listener.accept().await {
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -1,4 +1,5 @@
-//! The hand-over's sockets: a Unix socket in `$TMPDIR`, where the next process asks this one.
+//! I/O of the hand-over between the processes of one broker: over a Unix socket in `$TMPDIR`, the next process asks
+//! this one to let it take over.
 
 mod gate;
 mod meeting;
@@ -22,41 +23,45 @@
 pub(super) use meeting::socket_path;
 use meeting::{FileId, exchange_messages, listen, try_connect};
 
-/// Time before the process at the meeting point is asked again.
+/// The time before the process at the socket is asked again.
 const RETRY_INTERVAL: std::time::Duration = std::time::Duration::from_millis(20);
-/// Time between looks whether anybody still waits here, once another process serves.
+/// The time between checks whether any client still waits at this process, once another process serves.
 const POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(10);
 
-/// This process between the one before it and the one after it.
+/// The hand-over of this process with its predecessor and with its successor.
 pub(super) struct Handover {
     socket_path: PathBuf,
-    /// When this process started, by the machine's clock that is never set.
+    /// The start of this process on the boot clock, which is never set.
     started: u64,
+    /// The state machine of this process as the predecessor of the next one.
     predecessor_role: RefCell<Predecessor>,
+    /// The state machine of this process as the successor of the one before it.
     successor_role: RefCell<Option<Successor>>,
-    /// The connection to the process before.
+    /// The connection to the process before this one.
     predecessor_outbox: RefCell<Option<Rc<Outbox>>>,
-    /// Those of processes that ask.
+    /// The connections of processes that ask to take over.
     takeovers: RefCell<BTreeMap<TakeoverConn, Rc<Outbox>>>,
     last_takeover: Cell<u64>,
-    /// The file that this process took its place at the meeting point with.
+    /// The socket file that this process listens on.
     own_socket: Cell<Option<FileId>>,
-    /// Hears those that ask.
+    /// The task that accepts processes that ask to take over.
     accept_task: RefCell<Option<Task<()>>>,
-    /// Rings when the process at the meeting point is to be asked again.
+    /// Notified when the process at the socket is to be asked again.
     ask_again: Notify,
+    /// Open while this process accepts clients' connections.
     pub(super) gate: Gate,
-    /// Rings when this process has nothing left to do.
+    /// Notified when this process has nothing left to do.
     pub(super) finished: Notify,
 }
 
 impl Handover {
-    /// Whether another process serves in this one's place.
+    /// Whether another process serves in place of this one.
     pub(super) fn has_yielded(&self) -> bool {
         self.predecessor_role.borrow().has_yielded()
     }
 
-    /// What the node has for the other process.
+    /// Sends the node's messages to the successor. If there is none, the predecessor is told that a client has left a
+    /// session that this process does not hold.
     pub(super) fn send_messages(self: &Rc<Self>, shared: &Handle, messages: Vec<Message>) {
         let successor = self.predecessor_role.borrow().successor();
         let takeover = successor.and_then(|successor| self.takeovers.borrow().get(&successor).cloned());
@@ -72,6 +77,7 @@
         }
     }
 
+    /// Executes the actions of this process as the predecessor of the next one.
     fn execute_as_predecessor(self: &Rc<Self>, shared: &Handle, actions: Vec<giver::Action>) {
         for action in actions {
             match action {
@@ -103,6 +109,7 @@
         }
     }
 
+    /// Executes the actions of this process as the successor of the one before it.
     fn execute_as_successor(self: &Rc<Self>, shared: &Handle, actions: Vec<heir::Action>) {
         for action in actions {
             match action {
@@ -134,6 +141,7 @@
         }
     }
 
+    /// Calls `act` on the successor's state machine, if there is one, and executes its actions.
     fn as_successor(
         self: &Rc<Self>,
         shared: &Handle,
@@ -146,6 +154,7 @@
         self.execute_as_successor(shared, actions);
     }
 
+    /// Calls `act` on the predecessor's state machine and executes its actions.
     fn as_predecessor(
         self: &Rc<Self>,
         shared: &Handle,
@@ -157,11 +166,13 @@
     }
 }
 
-/// Once another process serves: asks to leave when nobody waits here, and leaves when it is told to.
+/// Tells the state machine, while another process serves, whether this process is still needed: it may leave once no
+/// client waits here.
 async fn leave_when_idle(shared: Handle, handover: Rc<Handover>) {
     while handover.has_yielded() {
         let unwritten = shared.outboxes.borrow().values().any(|outbox| !outbox.is_empty());
-        // What the process before passes comes by here; it would take this one's end for its heir's death.
+        // Messages of the process before this one pass through here, and it would take the end of this process for the
+        // death of its successor.
         let relays = handover.predecessor_outbox.borrow().is_some();
         let is_needed = unwritten || relays || shared.node.borrow().has_waiting_clients();
         handover.as_predecessor(&shared, |predecessor, out| predecessor.holds(is_needed, out));
@@ -169,8 +180,8 @@
     }
 }
 
-/// Finds out whether anybody else is at the meeting point, now that the heir is gone. One that died before it took its
-/// place has left this process's own there.
+/// Finds out whether another process listens on the socket, after the successor has gone. A successor that died before
+/// it listened there has left the socket file of this process in place.
 async fn check_for_other_process(shared: Handle, handover: Rc<Handover>) {
     let own = handover.own_socket.get();
     let is_own = || own.is_some() && FileId::of(&handover.socket_path).ok() == own;
@@ -178,7 +189,7 @@
     handover.as_predecessor(&shared, |predecessor, out| predecessor.looked(!no_other, out));
 }
 
-/// Starts: asks the process before this one, if there is one.
+/// Starts the hand-over: asks the process before this one to let this one take over, if there is one.
 pub(super) async fn start(shared: Handle, handover: Rc<Handover>) {
     let max_sessions = step(&shared, |node, _, _| {
         node.await_predecessor();
@@ -218,7 +229,7 @@
                 handover.ask_again.notified().await;
                 true
             };
-            // Told while it talked, or at its end.
+            // The notification may come during the exchange or at its end.
             let asks_again = future::or(told_to_ask_again, exchange).await;
             *handover.predecessor_outbox.borrow_mut() = None;
             if !asks_again && !handover.ask_again.take() {
@@ -231,7 +242,7 @@
 }
 
 impl Handover {
-    /// Between the processes that meet there.
+    /// Creates the hand-over of the processes that meet at `socket_path`.
     pub(super) fn new(socket_path: PathBuf) -> Rc<Handover> {
         let started = super::quorum::boot_now().0;
         Rc::new(Handover {
