--- a/src/net/files.rs
+++ b/src/net/files.rs
@@ -1,5 +1,6 @@
-//! Watched files: a thread of their own that reads them and writes the state, as files can be slow, and what
-//! becomes of its word on the thread that serves. It decides nothing: see [`crate::watch`] and [`crate::roster`].
+//! I/O of the watched files. A separate thread reads the files and writes the saved state, as file I/O can be slow.
+//! The serving thread applies the events that it sends. The decisions are made in [`crate::watch`] and
+//! [`crate::roster`].
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -25,30 +26,32 @@
 use crate::watch::state::{SavedLists, Store};
 use crate::watch::{Act, SetId, Touch, Watch, WatchConfig, WatchEvent};
 
-/// What the thread is told.
+/// A request to the file thread.
 enum Request {
-    /// The system tells of a change.
+    /// The system has reported a change of a file or folder.
     FileEvent(notify::Result<Event>),
-    /// The operator asks for a reading.
+    /// The operator asks to read the files now.
     Read,
-    /// A generation was taken.
+    /// Lists that are in use are to be saved.
     Save(Box<SavedLists>),
 }
 
-/// The serving side of watched files.
+/// The state of the watched files on the serving thread.
 pub(super) struct WatchedFiles {
     config: WatchConfig,
     bounds: Bounds,
     requests: mpsc::Sender<Request>,
-    /// Lists that are held back.
+    /// Lists that are held back because they drop too many servers.
     held_lists: Option<Lists>,
-    /// What is in use.
+    /// The lists that are in use.
     current_lists: Option<Lists>,
+    /// The script that is in use.
     script: Option<String>,
+    /// The saved lists that the start began from, until the files are read.
     restored: Option<SavedLists>,
 }
 
-/// The log's line of a generation that is in use.
+/// Logs a generation of the server list that is in use.
 fn log_generation(taken: &GenerationChange) {
     let digest = taken.digest.map(|d| d.short());
     info!(
@@ -63,14 +66,14 @@
     );
 }
 
-/// Announces a generation in the log and tells the node of it.
+/// Logs a new generation of the server list and passes it to the node.
 pub(super) fn announce(shared: &Handle, taken: GenerationChange) {
     log_generation(&taken);
     step(shared, |node, now, out| node.news(now, taken.news, out));
     shared.list_changed.notify();
 }
 
-/// A source with a list of its own has spoken.
+/// Offers an update of the server list from the board, the registry or the configuration to the roster.
 pub(super) fn offer(shared: &Handle, source: Source, update: ListUpdate) {
     let outcome = shared.roster.borrow_mut().hear(shared.now(), source, update);
     match outcome {
@@ -83,7 +86,7 @@
 }
 
 impl WatchedFiles {
-    /// Takes in what the thread tells.
+    /// Handles an event from the file thread.
     fn handle_event(&mut self, shared: &Handle, event: WatchEvent) {
         match event {
             WatchEvent::Lists(lists, is_requested) => self.handle_lists(shared, lists, is_requested),
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Good lists came, perhaps the same as before.
+    /// Offers valid lists to the roster. They may be the same as before.
     fn handle_lists(&mut self, shared: &Handle, lists: Lists, is_requested: bool) {
         let offered = lists.servers.clone();
         let outcome =
@@ -161,11 +164,12 @@
         }
     }
 
+    /// Returns the name of the file with a role.
     fn file_name(&self, role: Role) -> &str {
         self.config.lists.iter().find(|f| f.role == role).map_or(role.name(), |f| f.name.as_str())
     }
 
-    /// A generation was taken: the titles that belong to it are in use from now on too.
+    /// Applies a generation that the roster has taken, together with the titles that belong to it.
     fn apply(&mut self, shared: &Handle, taken: GenerationChange, lists: Lists) {
         (self.held_lists, self.restored) = (None, None);
         announce(shared, taken);
@@ -173,6 +177,7 @@
         self.save(shared);
     }
 
+    /// Puts lists in use, and passes new titles to the node.
     fn adopt(&mut self, shared: &Handle, lists: Lists) {
         let old = self.current_lists.as_ref().and_then(|l| l.titles.as_ref());
         if let Some(titles) = lists.titles.as_ref().filter(|new| old != Some(new)) {
@@ -183,7 +188,7 @@
         self.current_lists = Some(lists);
     }
 
-    /// Gives the thread what is in use, to be kept.
+    /// Asks the file thread to save the lists and the script that are in use.
     fn save(&self, shared: &Handle) {
         if self.config.state.is_none() {
             return;
@@ -206,11 +211,11 @@
             texts,
             started: if watched { started.collect() } else { BTreeMap::new() },
         };
-        // The thread ends with the program only.
+        // Sending can't fail: the thread ends only with the process.
         let _ = self.requests.send(Request::Save(Box::new(saved)));
     }
 
-    /// Starts from lists that were kept.
+    /// Puts saved lists in use at the start.
     fn restore(&mut self, shared: &Handle, saved: SavedLists) {
         let file = |role: Role, text: &str| (role, text.to_owned());
         let texts: Vec<_> = self
@@ -233,7 +238,7 @@
                     }
                     self.adopt(shared, lists);
                 }
-                // The settings may have changed since.
+                // Saved lists may be invalid under settings that have changed since.
                 Err(findings) => {
                     warn!(event = "state.refused", reason = findings.to_string().as_str());
                 }
@@ -247,7 +252,7 @@
         self.restored = Some(saved);
     }
 
-    /// The files are what they were at the last stop.
+    /// Logs that the files are the same as when they were saved.
     fn log_unchanged(&self, shared: &Handle, saved: &SavedLists) {
         let roster = shared.roster.borrow();
         log_generation(&GenerationChange {
@@ -262,13 +267,13 @@
         });
     }
 
-    /// At the end of the start: says what is served from, where the files did not give it.
+    /// Ends the start: logs which lists are in use if they did not come from the files.
     fn finish_start(&mut self, shared: &Handle) {
         let Some(saved) = self.restored.take() else {
             if self.current_lists.is_none() && !self.config.lists.is_empty() {
                 warn!(
                     event = "list.none",
-                    "list.none: no good list and no copy of one; the first good one is taken"
+                    "list.none: no valid list and no saved copy; the first valid list is used"
                 );
             }
             return;
@@ -325,7 +330,7 @@
     if let Some(script) = &files.script {
         watch.proved(SetId::Script, seal::digest(script.as_bytes()));
     }
-    // The system is asked first: what changes after the first reading is not missed.
+    // The folders are watched before the first read, so that no change after it is missed.
     let mut folder_watcher = FolderWatcher::new(&watch_config, requests);
     folder_watcher.refresh_watches();
     let mut events = Vec::new();
@@ -352,12 +357,12 @@
     files
 }
 
-/// Asks for a reading, as the operator's signal does.
+/// Asks the file thread to read the files now, for the operator's signal.
 pub(super) fn request_read(files: &Rc<RefCell<WatchedFiles>>) {
     let _ = files.borrow().requests.send(Request::Read);
 }
 
-/// Takes lists that were held back when they are due, and lets servers go that were dropped.
+/// Applies held lists when they are due, and removes dropped servers once the node no longer needs them.
 pub(super) async fn maintain_roster(shared: Handle, files: Option<Rc<RefCell<WatchedFiles>>>) {
     loop {
         let due = shared.roster.borrow().next_due();
@@ -390,6 +395,7 @@
     }
 }
 
+/// Opens the folder of the saved state. Returns `None` and logs the reason if that fails.
 fn open_state(path: &Path, broker: &str) -> Option<(Store, Folder)> {
     let store = Store::new(broker, std::process::id());
     let opened = Folder::open(path).map_err(|e| e.to_string()).and_then(|mut folder| {
@@ -406,7 +412,7 @@
     }
 }
 
-/// Does what is due.
+/// Checks and reads the files that are due.
 fn run_due(watch: &mut Watch, clock: &Clock, events: &mut Vec<WatchEvent>) {
     while let Some(act) = watch.due(clock.read(unix_now()), events) {
         match act {
@@ -423,7 +429,7 @@
     }
 }
 
-/// The thread: waits for words and for the time, reads, and tells.
+/// Runs the file thread: waits for requests and due times, reads the files, saves the state and sends events.
 fn run_thread(
     mut watch: Watch,
     clock: &Clock,
@@ -446,7 +452,7 @@
                     folder_watcher.forward_event(&mut watch, clock.read(unix_now()), event)
                 }
                 Request::Read => watch.asked(clock.read(unix_now())),
-                // Of several only the last one is worth keeping.
+                // Of several requests only the last one needs to be saved.
                 Request::Save(saved) => save = Some(saved),
             }
             request = requests.try_recv().ok();
@@ -469,13 +475,13 @@
     }
 }
 
-/// How the system tells of changes: the folders on the way to each file are watched, as a file or a link or a
-/// folder may be swapped at any step of it.
+/// Watches for changes with the system's file notifications. All folders on the path to each file are watched, as a
+/// file, link or folder may be replaced at any level of the path.
 struct FolderWatcher {
     watcher: Option<RecommendedWatcher>,
     files: Vec<(Role, PathBuf)>,
     base: PathBuf,
-    /// Folders that are watched, by the inode that each had.
+    /// The watched folders, each with the device and inode number that it had.
     watched: BTreeMap<PathBuf, (u64, u64)>,
 }
 
@@ -485,7 +491,7 @@
         let files = all.map(|f| (f.role, f.path.clone())).collect();
         let watcher = config.notify.then(|| {
             notify::recommended_watcher(move |event: notify::Result<Event>| {
-                // Readings make events of their own, which tell nothing.
+                // Reads by this process cause events too, which are no changes.
                 if event.as_ref().is_ok_and(|e| touch_of(&e.kind).is_none() && !e.need_rescan()) {
                     return;
                 }
@@ -504,7 +510,7 @@
         FolderWatcher { watcher, files, base, watched: BTreeMap::new() }
     }
 
-    /// Folders that are to be watched, as they are now.
+    /// Returns the folders that are to be watched, with their current device and inode numbers.
     fn folders_to_watch(&self) -> BTreeMap<PathBuf, (u64, u64)> {
         use std::os::unix::fs::MetadataExt as _;
         let mut wanted = BTreeMap::new();
@@ -523,7 +529,7 @@
                     break;
                 }
             }
-            // Where a link leads to another folder, the file itself lies there.
+            // If a link leads to another folder, the file itself is there.
             if let Ok(real) = std::fs::canonicalize(path) {
                 real.parent().into_iter().for_each(&mut add);
             }
@@ -531,7 +537,7 @@
         wanted
     }
 
-    /// Whether a folder on the way is another one than before; it is watched from now on.
+    /// Watches the folders that the paths lead through now. Returns whether any is another one than before.
     fn refresh_watches(&mut self) -> bool {
         if self.watcher.is_none() {
             return false;
@@ -543,7 +549,7 @@
         let Some(watcher) = &mut self.watcher else { return false };
         for (path, inode) in &self.watched {
             if wanted.get(path) != Some(inode) {
-                // It may be gone, and the watch with it.
+                // This fails if the folder, and with it the watch, is gone.
                 let _ = watcher.unwatch(path);
             }
         }
@@ -557,7 +563,7 @@
                 Err(error) => {
                     let file = path.display().to_string();
                     warn!(event = "watch.blind", file = file.as_str(), reason = error.to_string().as_str());
-                    // It is looked at now and then instead.
+                    // The files in it are polled instead.
                     watched.insert(path, inode);
                 }
             }
@@ -566,11 +572,11 @@
         true
     }
 
-    /// Passes an event on.
+    /// Passes a system event to the watch, for each file that it concerns.
     fn forward_event(&self, watch: &mut Watch, now: Micros, event: notify::Result<Event>) {
         let event = match event {
             Ok(event) if !event.need_rescan() => event,
-            // Events were lost: anything may have changed.
+            // Events were lost, so any file may have changed.
             _ => return watch.touched(now, None, Touch::Other),
         };
         let Some(touch) = touch_of(&event.kind) else { return };
@@ -583,7 +589,7 @@
                     watch.touched(now, Some(*role), touch);
                 }
             }
-            // A folder or a link on the way: all below it may be others now.
+            // A folder or link on a path has changed: all files below it may be other files now.
             if !is_watched_file
                 && self.files.iter().any(|(_, file)| file.ancestors().skip(1).any(|f| is_same_path(f, path)))
             {
@@ -593,19 +599,19 @@
     }
 }
 
-/// Whether two paths are written alike but for a leading `./`.
+/// Whether two paths are equal except for a leading `./`.
 fn is_same_path(a: &Path, b: &Path) -> bool {
     let normalized = |p: &Path| p.strip_prefix(".").map_or_else(|_| p.to_owned(), Path::to_owned);
     normalized(a) == normalized(b)
 }
 
-/// What an event is to a file's content; none: nothing.
+/// Returns how an event concerns a file's content, or `None` if it does not.
 fn touch_of(kind: &EventKind) -> Option<Touch> {
     match kind {
         EventKind::Modify(ModifyKind::Name(RenameMode::To)) => Some(Touch::Renamed),
-        // Both ends of a rename are told once more, after each was told alone.
+        // Both ends of a rename are reported together again, after each was reported alone.
         EventKind::Modify(ModifyKind::Name(RenameMode::Both)) => None,
-        // Rights and times are no content; what became readable is seen at the next look.
+        // Permissions and times are not content; a file that became readable is noticed by the next poll.
         EventKind::Modify(ModifyKind::Metadata(_)) => None,
         EventKind::Access(AccessKind::Close(AccessMode::Write)) => Some(Touch::Other),
         EventKind::Access(_) => None,
