--- a/src/net/quorum.rs
+++ b/src/net/quorum.rs
@@ -1,5 +1,5 @@
-//! Links between processes of a quorum, and the threads that write the journal and the record. All that is decided
-//! is decided by [`Machine`].
+//! I/O of the quorum: connections between its processes, and the threads that write the journal and the record. All
+//! decisions are made by [`Machine`].
 
 mod commands;
 
@@ -40,22 +40,22 @@
 use crate::quorum::{BootTime, Incarnation, Input, Machine, Out, QuorumConfig, VoterId};
 use crate::rules::standing::{LocalRules, RulesFreshness};
 
-/// A link that doesn't come up within this has failed.
+/// The time after which a connection attempt to a voter has failed.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The shortest wait between looks at what is due, whatever is.
+/// The shortest wait between checks for due timers, whatever the next one is.
 const MIN_TIMER_WAIT: Micros = Micros(2_000);
-/// Connections that a voter holds at most: beyond that new ones are closed at once.
+/// The most connections that a voter accepts. Beyond that, new ones are closed at once.
 const MAX_CONNECTIONS: usize = 4_096;
 
-/// The clock that runs while the machine sleeps too.
+/// Returns the time of the boot clock, which also advances while the machine is suspended.
 pub fn boot_now() -> BootTime {
     let now = unscaled_boot_now();
-    // A trial may have this process's clock run too fast or too slow.
+    // A trial may make this process's clock run too fast or too slow.
     let rate = faults::injected_value("clock-rate").unwrap_or(1.0);
     BootTime(if rate == 1.0 { now } else { (now as f64 * rate) as u64 })
 }
 
-/// One link: what waits on it, and the bells that wake its writer and end it.
+/// A connection to another process: its queue, and the notifications that wake its writer and end it.
 #[derive(Default)]
 struct Link {
     queue: RefCell<Queue>,
@@ -65,6 +65,7 @@
 }
 
 impl Link {
+    /// Queues a frame. A full queue ends the link.
     fn push(&self, frame: &Frame) {
         if !self.queue.borrow_mut().push(frame) {
             self.finish("overflow");
@@ -72,6 +73,7 @@
         self.changed.notify();
     }
 
+    /// Ends the link. The first reason is kept.
     fn finish(&self, reason: &'static str) {
         if self.end_reason.get().is_none() {
             self.end_reason.set(Some(reason));
@@ -80,40 +82,42 @@
     }
 }
 
-/// Does something with a link, if it is there.
+/// Calls `act` on a link, if there is one with the number.
 fn with_link(links: &RefCell<BTreeMap<u64, Rc<Link>>>, number: u64, act: impl FnOnce(&Link)) {
     if let Some(link) = links.borrow().get(&number) {
         act(link);
     }
 }
 
+/// A write to the journal, with the number that its confirmation names.
 enum JournalWrite {
     Append(u64, Vec<u8>),
     Replace(u64, Vec<u8>),
 }
 
-/// This process's part in a quorum, on sockets.
+/// The connections, journal and state machine of this process in a quorum.
 pub struct Quorum {
     machine: RefCell<Machine>,
     links: RefCell<BTreeMap<VoterId, Rc<Link>>>,
     conns: RefCell<BTreeMap<u64, Rc<Link>>>,
     next_conn: Cell<u64>,
     incarnation: Incarnation,
-    /// Voters that are dialled; one that has gone does not come again, as numbers are not.
+    /// The voters to which links are kept up. A voter that was removed never comes back, as numbers are not reused.
     dialled: RefCell<BTreeSet<VoterId>>,
     journal: Option<async_channel::Sender<JournalWrite>>,
     record: Option<async_channel::Sender<Job>>,
     changed: Notify,
     executor: Rc<LocalExecutor<'static>>,
-    /// Frames and bytes that were sent, and syncs of the journal.
+    /// The numbers of frames and bytes that were sent, and of syncs of the journal.
     sent: Cell<(u64, u64)>,
     syncs: Cell<u64>,
-    /// Tells the module how many fronts there are.
+    /// Passes the number of brokers and this broker's place among them to the node.
     on_fleet_position: Box<dyn Fn(FleetPosition)>,
-    /// Tells the node what it acts on.
+    /// Passes the rules that are in force here to the node.
     on_rules: Box<dyn Fn(LocalRules)>,
 }
 
+/// Logs an event of the state machine.
 fn log_event(event: &Event) {
     match event {
         Event::Founded => info!(event = "quorum.founded"),
@@ -137,7 +141,7 @@
             );
         }
         Event::Acts(duty, epoch, look) => {
-            // The look that allowed it, on the clock as the system has it.
+            // The time of the check that allowed it, on the unscaled boot clock.
             let at = (look.0 as f64 / faults::injected_value("clock-rate").unwrap_or(1.0)) as u64;
             info!(event = "duty.acts", duty = duty.0.as_str(), epoch = epoch.0, at);
         }
@@ -156,12 +160,13 @@
     }
 }
 
-/// The boot clock as the system has it, for the log.
+/// Returns the boot clock in microseconds without the injected rate, for the log.
 fn unscaled_boot_now() -> u64 {
     let now = clock_gettime(ClockId::Boottime);
     now.tv_sec as u64 * 1_000_000 + now.tv_nsec as u64 / 1_000
 }
 
+/// Logs a change that the quorum has agreed on.
 fn log_change(index: u64, change: &Change) {
     let at = unscaled_boot_now();
     match change {
@@ -188,7 +193,7 @@
     }
 }
 
-/// Opens a voter's folder; a torn tail is cut off.
+/// Opens the journal in a voter's folder. An incomplete entry at its end is cut off.
 fn open_journal(folder: &Path) -> Result<(Journal, Option<journal::Read>), Barred> {
     let disk =
         |e: io::Error| Barred::Folder(Unusable::Disk(format!("{}: {e}", folder.display())).to_string());
@@ -203,7 +208,7 @@
     Ok((journal, read))
 }
 
-/// Begins this process's part.
+/// Starts this process's part in the quorum: opens the journal, binds the listening socket and starts the tasks.
 pub fn start(
     executor: &Rc<LocalExecutor<'static>>,
     config: &QuorumConfig,
@@ -283,20 +288,21 @@
 }
 
 impl Quorum {
+    /// Passes an input to the state machine and executes its outputs.
     fn step(self: &Rc<Self>, input: Input) {
         let mut out = Vec::new();
-        // The time is read after the input was, so that nothing is judged by a moment before it.
+        // The clock is read after the input has arrived, so that no decision uses an earlier time.
         self.machine.borrow_mut().handle(boot_now(), input, &mut out);
         self.carry_out(out);
         self.changed.notify();
     }
 
-    /// This process gives back what it holds.
+    /// Releases the duties that this process holds.
     pub fn drain(self: &Rc<Self>) {
         self.step(Input::Drain);
     }
 
-    /// What the broker counts.
+    /// Passes on the broker's counts.
     pub fn report_counts(self: &Rc<Self>, counts: Counts) {
         if faults::injected("tell-counts") {
             self.log_counts();
@@ -304,6 +310,7 @@
         self.step(Input::Counts(counts));
     }
 
+    /// Executes the outputs of the state machine.
     fn carry_out(self: &Rc<Self>, out: Vec<Out>) {
         for out in out {
             match out {
@@ -337,7 +344,7 @@
         }
     }
 
-    /// What a trial measures: frames and bytes sent, syncs, and this process's processor time in microseconds.
+    /// Logs what a trial measures: frames and bytes sent, syncs, and this process's processor time in microseconds.
     fn log_counts(&self) {
         let processor = clock_gettime(ClockId::ProcessCPUTime);
         let processor = processor.tv_sec as u64 * 1_000_000 + processor.tv_nsec as u64 / 1_000;
@@ -345,15 +352,16 @@
         info!(event = "quorum.counts", sent, sent_bytes, syncs = self.syncs.get(), processor);
     }
 
+    /// Sends a write to the journal's thread.
     fn write_to_journal(&self, write: JournalWrite) {
         if let Some(journal) = &self.journal {
-            // The thread ends only after it said that the disk failed.
+            // The thread ends only after it has reported that the disk failed.
             let _ = journal.try_send(write);
         }
     }
 }
 
-/// The journal's thread: what waits together is synced together.
+/// Runs the journal's thread. Writes that wait together are synced together.
 fn write_journal(
     mut file: Journal,
     work: &async_channel::Receiver<JournalWrite>,
@@ -376,7 +384,7 @@
         let written = batch.into_iter().try_for_each(&mut write).and_then(|()| file.sync());
         let answer = match written {
             Ok(()) => Input::Written(last_number),
-            // What is on disk now nobody can say: this voter says nothing more.
+            // It is unknown what is on disk after a failed write, so this voter takes no further part.
             Err(error) => Input::DiskFailed(format!("the journal can't be written: {error}")),
         };
         let failed = matches!(answer, Input::DiskFailed(_));
@@ -386,7 +394,7 @@
     }
 }
 
-/// The record's thread.
+/// Runs the record's thread.
 fn write_record(folder: &Path, work: &async_channel::Receiver<Job>, answers: &async_channel::Sender<Input>) {
     #[cfg(feature = "trials")]
     mutant::choose(mutant::of_environment());
@@ -400,8 +408,9 @@
     }
 }
 
-/// Writes a line of the record. The permit is looked at again, as the job has waited; a file of a later epoch says
-/// so too. What gets past both on its way to the disk is dropped by whoever reads the record.
+/// Writes a line of the record. The permit is checked again, as the job has waited in the queue; a file of a later
+/// epoch also shows that the job is too late. A late line that passes both checks is dropped by the reader of the
+/// record.
 fn write_line(folder: &Path, job: Job) -> io::Result<Done> {
     if job.permit.still(boot_now()).is_none() {
         return Ok(Done::TooLate);
@@ -434,6 +443,7 @@
     Ok(Done::Written)
 }
 
+/// Runs the state machine's timers when they are due.
 async fn run_timers(quorum: Rc<Quorum>) {
     loop {
         let wait = quorum.machine.borrow().next().since(boot_now());
@@ -443,7 +453,7 @@
             };
             future::or(quorum.changed.notified(), timer).await;
         } else {
-            // Whatever is said to be due, others have their turn first.
+            // Other tasks get their turn first, even if a timer is already due.
             Timer::after(to_duration(MIN_TIMER_WAIT)).await;
         }
         if quorum.machine.borrow().next() <= boot_now() {
@@ -452,6 +462,7 @@
     }
 }
 
+/// Accepts connections of other processes.
 async fn accept_members(quorum: Rc<Quorum>, listener: Async<TcpListener>) {
     loop {
         match listener.accept().await {
@@ -470,7 +481,7 @@
     }
 }
 
-/// One connection that was accepted.
+/// Runs an accepted connection until it ends.
 async fn serve_member(quorum: Rc<Quorum>, stream: Async<TcpStream>, peer: SocketAddr) {
     let (conn, link) = (quorum.next_conn.get(), Rc::new(Link::default()));
     quorum.next_conn.set(conn + 1);
@@ -486,7 +497,7 @@
     info!(event = "end", peer = %format_args!("member:{peer}"), reason);
 }
 
-/// The link to a voter, dialled again whenever it ends.
+/// Keeps up the link to a voter: connects again whenever it ends.
 async fn dial_voter(quorum: Rc<Quorum>, voter: VoterId, address: SocketAddr, seed: u64) {
     let mut backoff = Backoff::new(seed);
     while quorum.dialled.borrow().contains(&voter) {
@@ -515,7 +526,7 @@
     }
 }
 
-/// Reads and writes frames until the link ends; gives the reason's code.
+/// Reads and writes frames until the link ends. Returns the reason code of its end.
 async fn drive(
     stream: &Async<TcpStream>,
     link: &Link,
@@ -537,7 +548,7 @@
                     Ok(Some(frame)) => handle_frame(Ok(frame)),
                     Err(why) => {
                         handle_frame(Err(why));
-                        // Why it ends is still on its way out.
+                        // Gives the answer that names the error time to be written.
                         Timer::after(Duration::from_millis(50)).await;
                         return why.code();
                     }
@@ -568,7 +579,7 @@
     };
     let end = async {
         link.end_requested.notified().await;
-        // What was queued before the end has a moment to leave, then it is over.
+        // Gives frames that were queued before the end time to be written.
         Timer::after(Duration::from_millis(50)).await;
         link.end_reason.get().unwrap_or("ended")
     };
--- a/src/net/quorum/commands.rs
+++ b/src/net/quorum/commands.rs
@@ -1,4 +1,4 @@
-//! Commands that ask the processes of a quorum: each opens a connection of its own and reads until it is answered.
+//! Commands to the processes of a quorum. Each command opens its own connection and reads until it is answered.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read as _};
@@ -19,10 +19,10 @@
 use crate::quorum::{Duty, Name, QuorumConfig, Voter};
 use crate::rules::version::{Fate, Proposal, ProposeError, Version};
 
-/// How long a command waits for an answer.
+/// The time that a command waits for an answer of one process.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Asks one process and reads frames until one is an answer.
+/// Sends a frame to one process and reads frames until `answer` accepts one.
 async fn ask<T>(
     address: SocketAddr,
     hello: &Hello,
@@ -58,6 +58,7 @@
     with_timeout(ANSWER_TIMEOUT, exchange).await
 }
 
+/// Returns the greeting of a command, which is no process of the quorum.
 fn hello(config: &QuorumConfig) -> Hello {
     Hello {
         cluster: config.cluster.clone(),
@@ -68,7 +69,7 @@
     }
 }
 
-/// Processes that keep a log, in the order in which a command asks them: this one first, if it does.
+/// Returns the processes that keep a log, in the order in which a command asks them: this one first, if it keeps one.
 fn processes_to_ask(config: &QuorumConfig) -> Vec<(String, SocketAddr)> {
     let is_own = |v: &&Voter| v.name == config.name;
     let address = |v: &Voter| {
@@ -78,10 +79,11 @@
     all().filter(is_own).chain(all().filter(|v| !is_own(v))).map(address).collect()
 }
 
-/// What one process answered: the leader's word, or why it is not that.
+/// The answer of one process: the leader's answer, or why the process can't answer as the leader.
 type LeaderAnswer<T> = Result<T, String>;
 
-/// Asks one process after another until one answers as the leader does: its name and the answer; else what each said.
+/// Asks one process after another until one answers as the leader. Returns its name and the answer, or an error with
+/// the reason of each process.
 fn ask_leader<T>(
     config: &QuorumConfig,
     frame: &Frame,
@@ -98,8 +100,8 @@
     Err(problems.join("; "))
 }
 
-/// Asks one process after another how things stand, until one answers that a majority vouches for; else the best of
-/// what was answered.
+/// Asks one process after another until one gives an answer that a majority has confirmed. If none does, returns the
+/// newest answer.
 fn ask_best<T>(
     config: &QuorumConfig,
     frame: &Frame,
@@ -120,10 +122,10 @@
             Err(error) => problems.push(format!("{name} ({address}): {error}")),
         }
     }
-    found.ok_or_else(|| format!("no voter answers: {}", problems.join("; ")))
+    found.ok_or_else(|| format!("no voter answered: {}", problems.join("; ")))
 }
 
-/// How things stand, told by the leader where one is known, else by the first voter that answers.
+/// Returns the status of the quorum: a confirmed one if a process gives it, else the newest one.
 pub fn show(config: &QuorumConfig) -> Result<Status, String> {
     let answer = |frame: Frame| match frame {
         Frame::Status(status) => Some(*status),
@@ -135,9 +137,9 @@
     ask_best(config, &Frame::Show, answer, |status| status.confirmed, is_newer)
 }
 
-/// Asks the leader to have a duty handed on.
+/// Asks the leader to hand a duty on to another process.
 pub fn hand_on(config: &QuorumConfig, duty: &str) -> Result<(), String> {
-    let refusal = || format!("does not lead, or nobody holds {duty}");
+    let refusal = || format!("does not lead the quorum, or no process holds {duty}");
     let answer = |frame: Frame| match frame {
         Frame::HandingOn(done, _) => Some(if done { Ok(()) } else { Err(refusal()) }),
         _ => None,
@@ -145,13 +147,13 @@
     ask_leader(config, &Frame::HandOn(Duty(duty.to_owned())), answer).map(|_| ())
 }
 
-/// How long a command waits for a change of voters to be through.
+/// The time that a command waits for a change of voters or rules to take effect.
 const COMPLETION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Has a voter replaced by a process that offers itself, and waits until the new voters have a leader.
+/// Asks the leader to replace a voter by a process that offers itself, and waits until the new voters have a leader.
 pub fn replace(config: &QuorumConfig, gone: &str, new: &str) -> Result<Status, String> {
     let frame = Frame::Replace(Name(gone.to_owned()), Name(new.to_owned()));
-    // Whatever else the leader says, whoever else is asked does not know better.
+    // Only a process that does not lead is passed over: any other refusal is the leader's and final.
     let answer = |frame: Frame| match frame {
         Frame::Replacing(Err(why @ ReplaceError::NotLeading)) => Some(Err(why.to_string())),
         Frame::Replacing(done) => Some(Ok(done)),
@@ -169,10 +171,10 @@
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    Err(format!("{name}: council {number} was proposed, but nobody led it within 30 s; see `quorum show`"))
+    Err(format!("{name}: council {number} was proposed, but has no leader after 30 s; see `quorum show`"))
 }
 
-/// The rules, told by the leader where one is known, else by the first that answers.
+/// Returns the status of the rules: a confirmed one if a process gives it, else the newest one.
 pub fn rules(config: &QuorumConfig) -> Result<RulesStatus, String> {
     let answer = |frame: Frame| match frame {
         Frame::RulesAre(status) => Some(*status),
@@ -182,7 +184,7 @@
     ask_best(config, &Frame::Rules, answer, |status| status.confirmed, is_newer)
 }
 
-/// Proposes a document of rules; with `wait` until it is in force. Gives its number.
+/// Proposes a document of rules, and waits until it is in force if `wait` is set. Returns its version number.
 pub fn propose(config: &QuorumConfig, proposal: &Proposal, wait: bool) -> Result<u64, String> {
     let at_ms = unix_now().0 / 1_000;
     let frame = Frame::Propose(Box::new(Proposal { at_ms, ..proposal.clone() }));
@@ -196,6 +198,7 @@
     if wait { wait_until_in_force(config, number, &Version::digest_of(&proposal.text)) } else { Ok(number) }
 }
 
+/// Waits until a proposed version is in force. Returns its number.
 fn wait_until_in_force(config: &QuorumConfig, number: u64, digest: &str) -> Result<u64, String> {
     let deadline = Instant::now() + COMPLETION_TIMEOUT;
     while Instant::now() < deadline {
@@ -205,7 +208,8 @@
             let ruled = &status.ruled;
             let past = ruled.past.iter().find(|p| p.version.number == number);
             let current = ruled.force.iter().chain(&ruled.announced).find(|v| v.number == number);
-            // The leader that took the proposal may have gone before it was agreed on, and another's be there now.
+            // The leader that took the proposal may have failed before it was agreed on, and another document may have
+            // its number now.
             if let Some(other) = current.or(past.map(|p| &p.version)).filter(|v| v.digest != digest) {
                 return Err(format!(
                     "version {number} is another document, by {}: propose again",
@@ -224,9 +228,9 @@
     Err(format!("version {number} is not in force after 30 s; see `rules show`"))
 }
 
-/// Has the announced version withdrawn.
+/// Asks the leader to withdraw the announced version.
 pub fn abort(config: &QuorumConfig, number: u64) -> Result<(), String> {
-    let refusal = || format!("does not lead, or version {number} is not announced");
+    let refusal = || format!("does not lead the quorum, or version {number} is not announced");
     let answer = |frame: Frame| match frame {
         Frame::Aborting(done) => Some(if done { Ok(()) } else { Err(refusal()) }),
         _ => None,
@@ -234,7 +238,7 @@
     ask_leader(config, &Frame::Abort(number), answer).map(|_| ())
 }
 
-/// The fleet's record, joined from the files of a folder.
+/// Returns the fleet's record, joined from the files of a folder.
 pub fn read_record(folder: &Path) -> Result<record::Joined, String> {
     let failed = |path: PathBuf, e: io::Error| format!("{}: {e}", path.display());
     let names = disk::lengths(folder).map_err(|e| failed(folder.to_owned(), e))?;
