--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! Descriptors run short: each kind of connection has its part, so that what clients hold keeps nothing else from
-//! going on.
+//! Descriptors run short: each kind of connection has its own budget, so that clients' connections can't block any
+//! other work.
 
 mod support;
 
@@ -17,7 +17,7 @@
 const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 const DESCRIPTOR_LIMIT: usize = 64;
 
-/// The same command with a lower limit on descriptors.
+/// Returns the same command with a lower limit on descriptors.
 fn with_descriptor_limit(command: &Command) -> Command {
     let mut shell = Command::new("sh");
     shell.arg("-c").arg(format!("ulimit -n {DESCRIPTOR_LIMIT}; exec \"$0\" \"$@\""));
@@ -44,14 +44,14 @@
         "settings": settings, "known": known, "board": board.to_string()})
 }
 
-/// Clock ticks of processor time that a process has used.
+/// Returns the processor time that a process has used, in clock ticks.
 fn cpu_ticks(program: &Program) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", program.pid())).unwrap();
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
     fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
 }
 
-/// A hundred clients that test and then say nothing, and come again when they are let go.
+/// Keeps a hundred connections open that send a ping and then nothing, and connects again when one is closed.
 fn hold_idle_connections(at: SocketAddr, stop: &Arc<AtomicBool>) -> std::thread::JoinHandle<()> {
     let stop = stop.clone();
     std::thread::spawn(move || {
@@ -81,12 +81,12 @@
     })
 }
 
-/// Discovery is out of reach from the start, and idle clients hold all that they can get. Seen to fail before: the
-/// machine's limit was not looked at, and clients' connections used up the descriptor that the notice board needs.
+/// Discovery can't be reached from the start, and idle clients hold all descriptors that they can get. Guards against
+/// ignoring the system's limit: clients' connections used up the descriptor that the notice board needs.
 #[test]
 fn server_list_recovers_while_idle_clients_hold_all_their_descriptors() {
     let edge = Edge::start(EdgeBehaviour::Answers);
-    // An address that turns connections down until it listens.
+    // A bound address refuses connections until it listens.
     let listener = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
     bind(&listener, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
     let listener = TcpListener::from(listener);
@@ -105,10 +105,10 @@
     pass(1000);
     assert!(
         cpu_ticks(&program) - before < 50,
-        "it spins: {} ticks in a second",
+        "busy loop: {} ticks in a second",
         cpu_ticks(&program) - before
     );
-    assert!(!program.call("check\n").is_empty(), "the second address has its own part");
+    assert!(!program.call("check\n").is_empty(), "the console has its own descriptors");
     listen(&listener, 16).unwrap();
     let board = NoticeBoard::on(listener);
     board.wait_for_request(1);
@@ -121,7 +121,7 @@
     let mut new = program.connect("viewer");
     send_set_up(&mut new, 2, "clip", 50_000, "new");
     assert_eq!(final_answer(&mut new, 2).unwrap()["type"], "answer", "a new client gets room");
-    // Discovery goes in the middle, and comes back.
+    // Discovery fails meanwhile and comes back.
     board.hang_up();
     board.wait_for_request(2);
     board.tell(&event(2, false, &[("s-0", edge.address, 0, "terminating")]));
@@ -131,7 +131,7 @@
     idle_clients.join().unwrap();
 }
 
-/// Asks for a session in one cell that is to stand soon or not at all.
+/// Requests a session in one cell with a short deadline.
 fn send_short_deadline_set_up(stream: &mut TcpStream, id: u64, cell: u64) {
     let fields = json!({"class": "clip", "left": 400, "tenant": "home", "key": "k",
         "extras": format!("home:{cell};copies:1;top:1")});
@@ -139,7 +139,8 @@
     stream.write_all(format!("{line}\n").as_bytes()).unwrap();
 }
 
-/// More servers than there are descriptors for: each request has its answer, the board and new clients are heard.
+/// There are more servers than descriptors for them: each request is answered, and the board and new clients are
+/// served.
 #[test]
 fn serves_all_connections_with_more_servers_than_descriptors() {
     let edge = Edge::start(EdgeBehaviour::Answers);
@@ -163,14 +164,14 @@
         let last_line = final_answer(&mut client, cell + 1).expect("one answer each");
         established += usize::from(last_line["type"] == "answer");
     }
-    assert!(established >= 8, "{established} sessions stand");
+    assert!(established >= 8, "{established} sessions established");
     board.tell(&event(2, false, &[("s-0", servers[0].1, 0, "terminating")]));
     program.wait_for_log("generation=2");
     assert!(!program.call("check\n").is_empty());
     let mut new = program.connect("viewer");
     send_short_deadline_set_up(&mut new, 100, 1);
     assert!(final_answer(&mut new, 100).is_some());
-    // Room for other servers comes once sessions are over.
+    // Descriptors for other servers become free once sessions have ended.
     for id in 1..=24 {
         let release = json!({"type": "release", "id": format!("{id:016x}"), "fields": {}, "cause": 16});
         client.write_all(format!("{release}\n").as_bytes()).unwrap();
@@ -179,5 +180,5 @@
         send_short_deadline_set_up(&mut new, 200 + n, 23 - n % 8);
         final_answer(&mut new, 200 + n).unwrap()["type"] == "answer"
     });
-    assert!(answered, "no room comes back");
+    assert!(answered, "no descriptor becomes free");
 }
--- a/tests/floods.rs
+++ b/tests/floods.rs
@@ -1,5 +1,5 @@
-//! Floods and slow peers: who sends without reading, comes by the hundred, or says a byte at a time costs the others
-//! nothing, and what can't be read leaves one line with its code.
+//! Floods and slow peers: a client that sends without reading, connects a hundred times or sends byte by byte does not
+//! affect other clients, and input that can't be parsed leaves one log line with its reason code.
 
 mod support;
 
@@ -21,7 +21,7 @@
     Program::platform_with_config(edges, deadline, &options, &["viewer", "console"])
 }
 
-/// Megabytes that a process holds.
+/// Returns the resident memory of a process in megabytes.
 fn resident_mb(program: &Program) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", program.pid())).unwrap();
     let line = status.lines().find(|l| l.starts_with("VmRSS")).unwrap();
@@ -95,8 +95,8 @@
     sender.join().unwrap();
 }
 
-/// An answer that comes a byte at a time: in good time it counts, and one that breaks off or stands still ends the
-/// attempt, after which a free session plays elsewhere and a paid one fails.
+/// A server sends its answer byte by byte. If the answer is complete in time, it is accepted. If it breaks off or
+/// stalls, the attempt ends; then a free session is set up at another server and a paid one fails.
 #[test]
 fn accepts_answer_sent_byte_by_byte_only_if_complete_in_time() {
     for (gap_ms, whole, class) in
@@ -133,7 +133,7 @@
         let mut client = program.connect("viewer");
         send_set_up(&mut client, 1, class, 8_000, "o");
         program.settle();
-        // From now on there is another server.
+        // Adds another server.
         board.tell(&event(2, false, &[("s-1", good.address, 1, "in_service")]));
         let last_line = final_answer(&mut client, 1).unwrap();
         let is_accepted = class == "clip" || whole;
@@ -163,5 +163,5 @@
     }
     assert_served(&program, 1);
     let lines = program.log.0.lock().unwrap().iter().filter(|l| l.starts_with("end ")).count();
-    assert!(lines <= 4, "one line each: {lines}");
+    assert!(lines <= 4, "one log line for each connection: {lines}");
 }
--- a/tests/half_written.rs
+++ b/tests/half_written.rs
@@ -1,6 +1,6 @@
-//! A set-up that is half written when its client leaves. The server's machine takes no more bytes, and the rest waits.
-//! Cutting the connection would end the set-ups of others on it, so the rest is written, and the release directly
-//! behind it: nothing else of anybody lies between.
+//! A set-up is half written when its client disconnects: the server's receive buffer is full and the rest is queued.
+//! Aborting the connection would end the set-ups of other clients on it, so the rest is written, and the release
+//! directly behind it, with no other message in between.
 
 mod support;
 
@@ -15,18 +15,18 @@
 use support::*;
 
 const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
-/// Bytes of an offer: the longest message is 16 KB.
+/// The size of an offer. The longest message is 16 KB.
 const OFFER_BYTES: usize = 14_000;
-/// What the server's machine takes unread, about.
+/// The approximate number of unread bytes that the server's kernel accepts.
 const RECEIVE_BUFFER_BYTES: usize = 8 * 1024;
-/// Set-ups that wait behind the half written one when its client leaves.
+/// The number of set-ups that wait behind the half written one when its client disconnects.
 const SET_UPS_PER_ROUND: u64 = 3;
-/// So many turns of the program without a byte written mean that it can't write.
+/// The broker can't write if it has written no byte in this number of turns.
 const UNCHANGED_TURNS: u32 = 6;
-/// The kernel takes no more than some megabytes for one connection.
+/// The most set-ups that are sent. The kernel buffers no more than some megabytes for one connection.
 const MAX_SET_UPS: u64 = 600;
 
-/// A message as the server read it: how far its last byte is from the connection's first.
+/// A message as the server read it, with the offset of its end in the connection's bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Message {
     kind: Kind,
@@ -34,7 +34,7 @@
     end: usize,
 }
 
-/// A server that accepts and reads nothing until it is told to.
+/// A server that accepts connections and reads nothing from them until it is told to.
 struct NonReadingServer {
     listener: TcpListener,
 }
@@ -43,7 +43,7 @@
     fn new() -> NonReadingServer {
         use rustix::net::{AddressFamily, SocketType, bind, listen, socket, sockopt};
         let socket = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
-        // Connections that it accepts have the same.
+        // Accepted connections inherit the buffer size.
         sockopt::set_socket_recv_buffer_size(&socket, RECEIVE_BUFFER_BYTES).unwrap();
         bind(&socket, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
         listen(&socket, 16).unwrap();
@@ -55,8 +55,8 @@
     }
 }
 
-/// What the machine holds of a connection from `from` to `to`: bytes that were written and not acknowledged yet, and
-/// bytes that came and were not read.
+/// Returns what the kernel holds of a connection from `from` to `to`: the number of bytes that were written and not
+/// acknowledged yet, and the number of bytes that arrived and were not read.
 fn queued_bytes(from: SocketAddr, to: SocketAddr) -> (usize, usize) {
     let hex = |port: u16| format!(":{port:04X}");
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
@@ -66,14 +66,14 @@
             fields.next().is_some_and(|l| l.ends_with(&hex(local)))
                 && fields.next().is_some_and(|r| r.ends_with(&hex(remote)))
         };
-        let line = table.lines().find(ends).expect("the connection stands");
+        let line = table.lines().find(ends).expect("the connection is open");
         let both = line.split_whitespace().nth(4).unwrap();
         usize::from_str_radix(both.split(':').nth(nth).unwrap(), 16).unwrap()
     };
     (of(from.port(), to.port(), 0), of(to.port(), from.port(), 1))
 }
 
-/// Bytes of a connection that its server never read from that were written.
+/// Returns the number of bytes that the broker has written on a connection from which its server has read nothing.
 fn bytes_written(stream: &TcpStream) -> usize {
     let (broker, server) = (stream.peer_addr().unwrap(), stream.local_addr().unwrap());
     let (unacknowledged, unread) = queued_bytes(broker, server);
@@ -88,18 +88,18 @@
     client.write_all(format!("{line}\n").as_bytes()).unwrap();
 }
 
-/// Whether the machine takes nothing more though there is more to write.
+/// Whether the kernel accepts no more bytes although there is more to write.
 fn is_connection_full(program: &Program, server: &TcpStream, ask_more: &mut impl FnMut() -> u64) -> bool {
     let before = bytes_written(server);
     ask_more();
-    // What was decided is written in the next turns, as far as the machine takes it.
+    // Set-ups that were decided on are written in the next turns, as far as the kernel accepts them.
     (0..UNCHANGED_TURNS).all(|_| {
         program.settle();
         bytes_written(server) == before
     })
 }
 
-/// Reads messages until a set-up has come.
+/// Reads messages until the set-up of session `last` has arrived.
 fn read_until_set_up(stream: &mut TcpStream, last: u64) -> Vec<Message> {
     let (mut decoder, mut buffer) = (Decoder::default(), vec![0; 64 * 1024]);
     let (mut messages, mut bytes): (Vec<Message>, Vec<u8>) = (Vec::new(), Vec::new());
@@ -108,9 +108,9 @@
         assert!(n > 0, "the connection ended after {messages:?}");
         bytes.extend_from_slice(&buffer[..n]);
         decoder.feed(&buffer[..n]);
-        while let Some(packet) = decoder.next_packet().expect("no message is torn") {
+        while let Some(packet) = decoder.next_packet().expect("all messages can be parsed") {
             let begin = messages.last().map_or(0, |m| m.end);
-            // A message begins with how many bytes follow.
+            // A message begins with the number of bytes that follow.
             let length = usize::from(u16::from_be_bytes([bytes[begin], bytes[begin + 1]]));
             messages.push(Message { kind: packet.kind, id: packet.id.0, end: begin + 2 + length });
         }
@@ -120,7 +120,7 @@
     }
 }
 
-/// Seen to fail before: the release waited behind all that was queued when the client left.
+/// Guards against a release that waits behind all messages that were queued when the client disconnected.
 #[test]
 fn writes_release_directly_behind_a_half_written_set_up() {
     for class in ["paid", "clip"] {
@@ -152,10 +152,10 @@
             id += 1;
             send_large_set_up(&mut leaving, id, class);
         }
-        // What was said before a test is decided before it is answered.
+        // Requests that were sent before a ping are decided before the ping is answered.
         leaving.write_all(ping().as_bytes()).unwrap();
         assert_eq!(line(&mut leaving).unwrap()["type"], "pong", "{class}");
-        assert!(id < MAX_SET_UPS, "the machine takes all");
+        assert!(id < MAX_SET_UPS, "the kernel accepts all set-ups");
         id
     };
     while !is_connection_full(&program, &server, &mut ask_more) {}
@@ -166,7 +166,7 @@
     drop(leaving);
     program.settle();
     program.settle();
-    assert_eq!(bytes_written(&server), written, "the server's machine takes more meanwhile");
+    assert_eq!(bytes_written(&server), written, "the server's kernel accepts more bytes");
 
     let messages = read_until_set_up(&mut server, last);
     let set_ups: Vec<&Message> = messages.iter().filter(|m| m.kind == Kind::SetUp).collect();
@@ -178,8 +178,8 @@
         messages[half_written]
     );
     let (next, own) = (messages[half_written + 1], messages[half_written].id);
-    assert_eq!((next.kind, next.id), (Kind::Release, own), "{class}: directly behind it");
-    // What was not begun never leaves; what was is set up once, and released once.
+    assert_eq!((next.kind, next.id), (Kind::Release, own), "{class}: the release must follow directly");
+    // Set-ups of which no byte was written are never sent; the others are sent once and released once.
     let begun: Vec<u64> = set_ups.iter().map(|m| m.id).filter(|id| *id != last).collect();
     assert_eq!(begun, (1..=own).collect::<Vec<u64>>(), "{class}");
     for id in 1..=last {
@@ -189,20 +189,20 @@
     assert_eq!(
         messages.last().map(|m| (m.kind, m.id)),
         Some((Kind::SetUp, last)),
-        "{class}: none waits longer"
+        "{class}: the last set-up must be the last message"
     );
-    // Those who stay are answered on the same connection.
+    // The client that stays is answered on the same connection.
     for id in [1, last] {
         server.write_all(&answer(SessionId(id), "o").finish().unwrap()).unwrap();
         assert_eq!(final_answer(&mut staying, id).unwrap()["type"], "answer", "{class}");
     }
-    // No attempt was made anywhere else, then or later.
+    // No attempt was made at another connection or server.
     program.settle();
     non_reading.listener.set_nonblocking(true).unwrap();
     for (stream, _) in std::iter::from_fn(|| non_reading.listener.accept().ok()) {
         stream.set_nonblocking(true).unwrap();
         let read = (&stream).read(&mut [0; 1]);
-        assert!(!matches!(read, Ok(n) if n > 0), "{class}: something was set up anew");
+        assert!(!matches!(read, Ok(n) if n > 0), "{class}: a set-up was sent again");
     }
     assert!(other.set_ups().is_empty(), "{class}");
 }
--- a/tests/letting_go.rs
+++ b/tests/letting_go.rs
@@ -1,4 +1,4 @@
-//! A connection that this side lets go while its client says something: the client is answered, whichever came first.
+//! The broker closes a connection while its client sends a request: the request is answered, whichever came first.
 
 mod support;
 
@@ -17,11 +17,11 @@
 }
 
 fn next_line(stream: &mut TcpStream) -> serde_json::Value {
-    line(stream).expect("the connection ended")
+    line(stream).expect("the connection was closed")
 }
 
-/// The program stands still from before the end of an idle connection's time until behind it; the request comes in
-/// between. Seen to fail before: the request lay unread while the connection was closed over it.
+/// The broker is stopped from before an idle connection's timeout until after it, and the request arrives in between.
+/// Guards against a connection that is closed over a request in the receive buffer.
 #[test]
 fn answers_request_that_arrived_before_an_idle_connection_closed() {
     let edge = Edge::start(EdgeBehaviour::Answers);
@@ -33,14 +33,14 @@
         }
         program.while_stopped(|| {
             send_set_up(&mut client, id, "paid", 50_000, "crosses");
-            // Idle connections have 2.25 s, silent ones 2 s, both are looked at each 0.25 s.
+            // Idle connections are closed after 2.25 s, silent ones after 2 s; both are checked every 0.25 s.
             pass(2_800);
         });
         assert_eq!(final_answer(&mut client, id).expect("closed over a request")["type"], "answer");
     }
 }
 
-/// The same where room is made for others.
+/// The same with a connection that is closed to make room for others.
 #[test]
 fn answers_request_that_arrived_before_its_connection_was_closed_to_make_room() {
     let edge = Edge::start(EdgeBehaviour::Answers);
@@ -52,15 +52,15 @@
         exchange_ping(client);
     }
     program.while_stopped(|| {
-        // The oldest is the first that would go; the rest of the room and more is asked for behind it.
+        // The oldest connection is the first to be closed; the new ones need more room than is left.
         send_set_up(&mut clients[0], 1, "paid", 50_000, "crosses");
         clients.extend((0..4).map(|_| program.connect("viewer")));
     });
     assert_eq!(final_answer(&mut clients[0], 1).expect("closed over a request")["type"], "answer");
 }
 
-/// An answer that is on its way while its client goes: the session ends where it was set up. Seen to fail before: it
-/// played on at its server for nobody.
+/// The client disconnects while the answer is in transit: the session is released at its server. Guards against a
+/// session that goes on at its server without a client.
 #[test]
 fn releases_session_when_client_disconnects_before_the_answer() {
     let edge = Edge::start(EdgeBehaviour::Answers);
