--- a/src/net/quorum.rs
+++ b/src/net/quorum.rs
@@ -1,5 +1,5 @@
-//! Links between processes of a quorum, and the threads that write the journal and the record. All that is decided
-//! is decided by [`Machine`].
+//! I/O of the quorum: connections between its processes, and the threads that write the journal and the record. All
+//! decisions are made by [`Machine`].
 
 mod commands;
 
@@ -19,10 +19,10 @@
 
 pub use commands::{abort, hand_on, propose, read_record, replace, rules, show};
 
-use super::conns::STALLED;
-use super::micros;
-use super::outbox::Bell;
-use super::reading::{TURN, code, within};
+use super::conns::WRITE_TIMEOUT;
+use super::outbox::Notify;
+use super::reading::{READ_BUFFER_BYTES, error_code, with_timeout};
+use super::to_duration;
 use crate::api::Micros;
 use crate::disk::{self, Journal};
 use crate::faults;
@@ -40,102 +40,112 @@
 use crate::quorum::{BootTime, Incarnation, Input, Machine, Out, QuorumConfig, VoterId};
 use crate::rules::standing::{LocalRules, RulesFreshness};
 
-/// A link that doesn't come up within this has failed.
-const CONNECT: Duration = Duration::from_secs(1);
-/// The shortest wait between looks at what is due, whatever is.
-const SHORTEST: Micros = Micros(2_000);
-/// Connections that a voter holds at most: beyond that new ones are closed at once.
-const MOST_CONNECTIONS: usize = 4_096;
+/// The time after which a connection attempt to a voter has failed.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The shortest wait between checks for due timers, whatever the next one is.
+const MIN_TIMER_WAIT: Micros = Micros(2_000);
+/// The most connections that a voter accepts. Beyond that, new ones are closed at once.
+const MAX_CONNECTIONS: usize = 4_096;
 
-/// The clock that runs while the machine sleeps too.
+/// Returns the time of the boot clock, which also advances while the machine is suspended.
 pub fn boot_now() -> BootTime {
-    let now = real_now();
-    // A trial may have this process's clock run too fast or too slow.
+    let now = unscaled_boot_now();
+    // A trial may make this process's clock run too fast or too slow.
     let rate = faults::injected_value("clock-rate").unwrap_or(1.0);
     BootTime(if rate == 1.0 { now } else { (now as f64 * rate) as u64 })
 }
 
-/// One link: what waits on it, and the bells that wake its writer and end it.
+/// A connection to another process: its queue, and the notifications that wake its writer and end it.
 #[derive(Default)]
 struct Link {
     queue: RefCell<Queue>,
-    bell: Bell,
-    end: Bell,
-    ending: Cell<Option<&'static str>>,
+    changed: Notify,
+    end_requested: Notify,
+    end_reason: Cell<Option<&'static str>>,
 }
 
 impl Link {
+    /// Queues a frame. A full queue ends the link.
     fn push(&self, frame: &Frame) {
         if !self.queue.borrow_mut().push(frame) {
             self.finish("overflow");
         }
-        self.bell.ring();
+        self.changed.notify();
     }
 
+    /// Ends the link. The first reason is kept.
     fn finish(&self, reason: &'static str) {
-        if self.ending.get().is_none() {
-            self.ending.set(Some(reason));
+        if self.end_reason.get().is_none() {
+            self.end_reason.set(Some(reason));
         }
-        self.end.ring();
+        self.end_requested.notify();
     }
 }
 
-/// Does something with a link, if it is there.
-fn on(links: &RefCell<BTreeMap<u64, Rc<Link>>>, number: u64, act: impl FnOnce(&Link)) {
+/// Calls `act` on a link, if there is one with the number.
+fn with_link(links: &RefCell<BTreeMap<u64, Rc<Link>>>, number: u64, act: impl FnOnce(&Link)) {
     if let Some(link) = links.borrow().get(&number) {
         act(link);
     }
 }
 
-enum Work {
-    Write(u64, Vec<u8>),
-    Rewrite(u64, Vec<u8>),
+/// A write to the journal, with the number that its confirmation names.
+enum JournalWrite {
+    Append(u64, Vec<u8>),
+    Replace(u64, Vec<u8>),
 }
 
-/// This process's part in a quorum, on sockets.
+/// The connections, journal and state machine of this process in a quorum.
 pub struct Quorum {
     machine: RefCell<Machine>,
     links: RefCell<BTreeMap<VoterId, Rc<Link>>>,
     conns: RefCell<BTreeMap<u64, Rc<Link>>>,
     next_conn: Cell<u64>,
     incarnation: Incarnation,
-    /// Voters that are dialled; one that has gone does not come again, as numbers are not.
+    /// The voters to which links are kept up. A voter that was removed never comes back, as numbers are not reused.
     dialled: RefCell<BTreeSet<VoterId>>,
-    journal: Option<async_channel::Sender<Work>>,
+    journal: Option<async_channel::Sender<JournalWrite>>,
     record: Option<async_channel::Sender<Job>>,
-    bell: Bell,
+    changed: Notify,
     executor: Rc<LocalExecutor<'static>>,
-    /// Frames and bytes that were sent, and syncs of the journal.
+    /// The numbers of frames and bytes that were sent, and of syncs of the journal.
     sent: Cell<(u64, u64)>,
     syncs: Cell<u64>,
-    /// Tells the module how many fronts there are.
-    fronts: Box<dyn Fn(FleetPosition)>,
-    /// Tells the node what it acts on.
-    rules: Box<dyn Fn(LocalRules)>,
+    /// Passes the number of brokers and this broker's place among them to the node.
+    on_fleet_position: Box<dyn Fn(FleetPosition)>,
+    /// Passes the rules that are in force here to the node.
+    on_rules: Box<dyn Fn(LocalRules)>,
 }
 
-fn tell(event: &Event) {
+/// Logs an event of the state machine.
+fn log_event(event: &Event) {
     match event {
         Event::Founded => info!(event = "quorum.founded"),
         Event::Votes => info!(event = "quorum.votes"),
         Event::Council(number, names) => {
             let names: Vec<&str> = names.iter().map(|n| n.0.as_str()).collect();
-            info!(event = "quorum.council", number, voters = names.join(","), at = real_now());
+            info!(event = "quorum.council", number, voters = names.join(","), at = unscaled_boot_now());
         }
         Event::Barred(why) => warn!(event = "quorum.no-vote", reason = %why),
         Event::Leads(name, reign) => info!(event = "quorum.leader", leader = name.0.as_str(), reign),
         Event::Took(duty, epoch) => {
-            info!(event = "duty.took", duty = duty.0.as_str(), epoch = epoch.0, at = real_now())
+            info!(event = "duty.took", duty = duty.0.as_str(), epoch = epoch.0, at = unscaled_boot_now())
         }
         Event::Lost(duty, epoch, why) => {
-            info!(event = "duty.lost", duty = duty.0.as_str(), epoch = epoch.0, at = real_now(), why);
+            info!(
+                event = "duty.lost",
+                duty = duty.0.as_str(),
+                epoch = epoch.0,
+                at = unscaled_boot_now(),
+                why
+            );
         }
         Event::Acts(duty, epoch, look) => {
-            // The look that allowed it, on the clock as the system has it.
+            // The time of the check that allowed it, on the unscaled boot clock.
             let at = (look.0 as f64 / faults::injected_value("clock-rate").unwrap_or(1.0)) as u64;
             info!(event = "duty.acts", duty = duty.0.as_str(), epoch = epoch.0, at);
         }
-        Event::Changed(index, change) => changed(*index, change),
+        Event::Changed(index, change) => log_change(*index, change),
         Event::Refused(who, why) => warn!(event = "quorum.refused", who = who.as_str(), reason = %why),
         Event::Sure(sure) => {
             let (state, version, next) = match sure {
@@ -144,20 +154,21 @@
                 RulesFreshness::Between(version, next) => ("between", *version, *next),
                 RulesFreshness::Unsure(version) => ("unsure", *version, 0),
             };
-            info!(event = "rules.sure", state, version, next, at = real_now());
+            info!(event = "rules.sure", state, version, next, at = unscaled_boot_now());
         }
         Event::Unrecorded(epoch, done) => warn!(event = "record.unwritten", epoch = epoch.0, reason = ?done),
     }
 }
 
-/// The boot clock as the system has it, for the log.
-fn real_now() -> u64 {
+/// Returns the boot clock in microseconds without the injected rate, for the log.
+fn unscaled_boot_now() -> u64 {
     let now = clock_gettime(ClockId::Boottime);
     now.tv_sec as u64 * 1_000_000 + now.tv_nsec as u64 / 1_000
 }
 
-fn changed(index: u64, change: &Change) {
-    let at = real_now();
+/// Logs a change that the quorum has agreed on.
+fn log_change(index: u64, change: &Change) {
+    let at = unscaled_boot_now();
     match change {
         Change::Granted(duty, lease) => {
             let (duty, holder, run) =
@@ -182,8 +193,8 @@
     }
 }
 
-/// Opens a voter's folder; a torn tail is cut off.
-fn open(folder: &Path) -> Result<(Journal, Option<journal::Read>), Barred> {
+/// Opens the journal in a voter's folder. An incomplete entry at its end is cut off.
+fn open_journal(folder: &Path) -> Result<(Journal, Option<journal::Read>), Barred> {
     let disk =
         |e: io::Error| Barred::Folder(Unusable::Disk(format!("{}: {e}", folder.display())).to_string());
     let (mut journal, bytes) = Journal::open(folder).map_err(disk)?;
@@ -197,24 +208,24 @@
     Ok((journal, read))
 }
 
-/// Begins this process's part.
+/// Starts this process's part in the quorum: opens the journal, binds the listening socket and starts the tasks.
 pub fn start(
     executor: &Rc<LocalExecutor<'static>>,
-    setup: &QuorumConfig,
+    config: &QuorumConfig,
     incarnation: Incarnation,
-    fronts: Box<dyn Fn(FleetPosition)>,
-    rules: Box<dyn Fn(LocalRules)>,
+    on_fleet_position: Box<dyn Fn(FleetPosition)>,
+    on_rules: Box<dyn Fn(LocalRules)>,
 ) -> io::Result<Rc<Quorum>> {
     #[cfg(feature = "trials")]
     mutant::choose(mutant::of_environment());
-    let (to_us, from_disk) = async_channel::unbounded::<Input>();
+    let (input_sender, input_receiver) = async_channel::unbounded::<Input>();
     let mut opened = None;
     let mut journal = None;
-    if let Some(folder) = &setup.folder {
-        opened = Some(match open(folder) {
+    if let Some(folder) = &config.folder {
+        opened = Some(match open_journal(folder) {
             Ok((file, read)) => {
                 let (sender, work) = async_channel::unbounded();
-                let answers = to_us.clone();
+                let answers = input_sender.clone();
                 std::thread::Builder::new()
                     .name("quorum".into())
                     .spawn(move || write_journal(file, &work, &answers))?;
@@ -224,19 +235,19 @@
             Err(why) => Err(why),
         });
     }
-    let record = match &setup.record {
+    let record = match &config.record {
         None => None,
         Some(folder) => {
             let (sender, work) = async_channel::unbounded();
             let folder = folder.clone();
             std::thread::Builder::new()
                 .name("record".into())
-                .spawn(move || write_record(&folder, &work, &to_us))?;
+                .spawn(move || write_record(&folder, &work, &input_sender))?;
             Some(sender)
         }
     };
     let mut out = Vec::new();
-    let machine = Machine::new(setup, incarnation, opened, boot_now(), &mut out);
+    let machine = Machine::new(config, incarnation, opened, boot_now(), &mut out);
     let quorum = Rc::new(Quorum {
         machine: RefCell::new(machine),
         links: RefCell::default(),
@@ -246,111 +257,114 @@
         dialled: RefCell::default(),
         journal,
         record,
-        bell: Bell::default(),
+        changed: Notify::default(),
         executor: executor.clone(),
         sent: Cell::new((0, 0)),
         syncs: Cell::new(0),
-        fronts,
-        rules,
+        on_fleet_position,
+        on_rules,
     });
-    if let Some(address) = setup.listen {
+    if let Some(address) = config.listen {
         let listener = Async::<TcpListener>::bind(address).map_err(|e| {
             io::Error::new(e.kind(), format!("quorum.listen: can't listen on {address}: {e}"))
         })?;
         let address = listener.get_ref().local_addr()?;
-        info!(event = "listens", name = setup.name.0.as_str(), address = %address, front = "quorum");
-        executor.spawn(accept(quorum.clone(), listener)).detach();
+        info!(event = "listens", name = config.name.0.as_str(), address = %address, front = "quorum");
+        executor.spawn(accept_members(quorum.clone(), listener)).detach();
     }
     quorum.carry_out(out);
-    executor.spawn(keep_time(quorum.clone())).detach();
-    let of_disk = quorum.clone();
-    let answers = async move {
-        while let Ok(input) = from_disk.recv().await {
+    executor.spawn(run_timers(quorum.clone())).detach();
+    let handle = quorum.clone();
+    let handle_inputs = async move {
+        while let Ok(input) = input_receiver.recv().await {
             if matches!(input, Input::Written(_)) {
-                of_disk.syncs.set(of_disk.syncs.get() + 1);
+                handle.syncs.set(handle.syncs.get() + 1);
             }
-            of_disk.step(input);
+            handle.step(input);
         }
     };
-    executor.spawn(answers).detach();
+    executor.spawn(handle_inputs).detach();
     Ok(quorum)
 }
 
 impl Quorum {
+    /// Passes an input to the state machine and executes its outputs.
     fn step(self: &Rc<Self>, input: Input) {
         let mut out = Vec::new();
-        // The time is read after the input was, so that nothing is judged by a moment before it.
+        // The clock is read after the input has arrived, so that no decision uses an earlier time.
         self.machine.borrow_mut().handle(boot_now(), input, &mut out);
         self.carry_out(out);
-        self.bell.ring();
+        self.changed.notify();
     }
 
-    /// This process gives back what it holds.
+    /// Releases the duties that this process holds.
     pub fn drain(self: &Rc<Self>) {
         self.step(Input::Drain);
     }
 
-    /// What the broker counts.
-    pub fn count(self: &Rc<Self>, counts: Counts) {
+    /// Passes on the broker's counts.
+    pub fn report_counts(self: &Rc<Self>, counts: Counts) {
         if faults::injected("tell-counts") {
-            self.tell_counts();
+            self.log_counts();
         }
         self.step(Input::Counts(counts));
     }
 
+    /// Executes the outputs of the state machine.
     fn carry_out(self: &Rc<Self>, out: Vec<Out>) {
         for out in out {
             match out {
-                Out::Send(voter, frame) => on(&self.links, voter, |link| link.push(&frame)),
+                Out::Send(voter, frame) => with_link(&self.links, voter, |link| link.push(&frame)),
                 Out::Dial(voter, address) => {
                     let seed = self.incarnation.0 ^ voter << 48;
                     self.dialled.borrow_mut().insert(voter);
-                    self.executor.spawn(dial(self.clone(), voter, address, seed)).detach();
+                    self.executor.spawn(dial_voter(self.clone(), voter, address, seed)).detach();
                 }
                 Out::Leave(voter) => {
                     self.dialled.borrow_mut().remove(&voter);
-                    on(&self.links, voter, |link| link.finish("replaced"));
+                    with_link(&self.links, voter, |link| link.finish("replaced"));
                 }
-                Out::Redial(voter, reason) => on(&self.links, voter, |link| link.finish(reason)),
-                Out::Reply(conn, frame) => on(&self.conns, conn, |link| link.push(&frame)),
-                Out::Close(conn, reason) => on(&self.conns, conn, |link| link.finish(reason)),
-                Out::Write(number, bytes) => self.work(Work::Write(number, bytes)),
-                Out::Rewrite(number, bytes) => self.work(Work::Rewrite(number, bytes)),
+                Out::Redial(voter, reason) => with_link(&self.links, voter, |link| link.finish(reason)),
+                Out::Reply(conn, frame) => with_link(&self.conns, conn, |link| link.push(&frame)),
+                Out::Close(conn, reason) => with_link(&self.conns, conn, |link| link.finish(reason)),
+                Out::Write(number, bytes) => self.write_to_journal(JournalWrite::Append(number, bytes)),
+                Out::Rewrite(number, bytes) => self.write_to_journal(JournalWrite::Replace(number, bytes)),
                 Out::Record(job) => {
                     if let Some(record) = &self.record {
                         let _ = record.try_send(job);
                     }
                 }
-                Out::FleetPosition(fronts) => {
-                    info!(event = "quorum.fronts", count = fronts.count, place = fronts.place);
-                    (self.fronts)(fronts);
+                Out::FleetPosition(position) => {
+                    info!(event = "quorum.fronts", count = position.count, place = position.place);
+                    (self.on_fleet_position)(position);
                 }
-                Out::Rules(standing) => (self.rules)(standing),
-                Out::Tell(event) => tell(&event),
+                Out::Rules(rules) => (self.on_rules)(rules),
+                Out::Tell(event) => log_event(&event),
             }
         }
     }
 
-    /// What a trial measures: frames and bytes sent, syncs, and this process's processor time in microseconds.
-    fn tell_counts(&self) {
+    /// Logs what a trial measures: frames and bytes sent, syncs, and this process's processor time in microseconds.
+    fn log_counts(&self) {
         let processor = clock_gettime(ClockId::ProcessCPUTime);
         let processor = processor.tv_sec as u64 * 1_000_000 + processor.tv_nsec as u64 / 1_000;
         let (sent, sent_bytes) = self.sent.get();
         info!(event = "quorum.counts", sent, sent_bytes, syncs = self.syncs.get(), processor);
     }
 
-    fn work(&self, work: Work) {
+    /// Sends a write to the journal's thread.
+    fn write_to_journal(&self, write: JournalWrite) {
         if let Some(journal) = &self.journal {
-            // The thread ends only after it said that the disk failed.
-            let _ = journal.try_send(work);
+            // The thread ends only after it has reported that the disk failed.
+            let _ = journal.try_send(write);
         }
     }
 }
 
-/// The journal's thread: what waits together is synced together.
+/// Runs the journal's thread. Writes that wait together are synced together.
 fn write_journal(
     mut file: Journal,
-    work: &async_channel::Receiver<Work>,
+    work: &async_channel::Receiver<JournalWrite>,
     answers: &async_channel::Sender<Input>,
 ) {
     while let Ok(first) = work.recv_blocking() {
@@ -358,19 +372,19 @@
         while let Ok(more) = work.try_recv() {
             batch.push(more);
         }
-        let mut last = 0;
-        let mut put = |work: Work| {
-            let (number, put) = match work {
-                Work::Write(number, bytes) => (number, file.append(&bytes)),
-                Work::Rewrite(number, bytes) => (number, file.replace(&bytes)),
+        let mut last_number = 0;
+        let mut write = |write: JournalWrite| {
+            let (number, result) = match write {
+                JournalWrite::Append(number, bytes) => (number, file.append(&bytes)),
+                JournalWrite::Replace(number, bytes) => (number, file.replace(&bytes)),
             };
-            last = number;
-            put
+            last_number = number;
+            result
         };
-        let written = batch.into_iter().try_for_each(&mut put).and_then(|()| file.sync());
+        let written = batch.into_iter().try_for_each(&mut write).and_then(|()| file.sync());
         let answer = match written {
-            Ok(()) => Input::Written(last),
-            // What is on disk now nobody can say: this voter says nothing more.
+            Ok(()) => Input::Written(last_number),
+            // It is unknown what is on disk after a failed write, so this voter takes no further part.
             Err(error) => Input::DiskFailed(format!("the journal can't be written: {error}")),
         };
         let failed = matches!(answer, Input::DiskFailed(_));
@@ -380,7 +394,7 @@
     }
 }
 
-/// The record's thread.
+/// Runs the record's thread.
 fn write_record(folder: &Path, work: &async_channel::Receiver<Job>, answers: &async_channel::Sender<Input>) {
     #[cfg(feature = "trials")]
     mutant::choose(mutant::of_environment());
@@ -394,8 +408,9 @@
     }
 }
 
-/// Writes a line of the record. The permit is looked at again, as the job has waited; a file of a later epoch says
-/// so too. What gets past both on its way to the disk is dropped by whoever reads the record.
+/// Writes a line of the record. The permit is checked again, as the job has waited in the queue; a file of a later
+/// epoch also shows that the job is too late. A late line that passes both checks is dropped by the reader of the
+/// record.
 fn write_line(folder: &Path, job: Job) -> io::Result<Done> {
     if job.permit.still(boot_now()).is_none() {
         return Ok(Done::TooLate);
@@ -421,24 +436,25 @@
         use std::io::Write as _;
         std::fs::OpenOptions::new().append(true).open(&path)?.write_all(&job.line)?;
     }
-    let (epoch, real) = (job.epoch.0, real_now());
+    let (epoch, real) = (job.epoch.0, unscaled_boot_now());
     if cfg!(feature = "trials") {
         info!(event = "record.wrote", epoch, at = real);
     }
     Ok(Done::Written)
 }
 
-async fn keep_time(quorum: Rc<Quorum>) {
+/// Runs the state machine's timers when they are due.
+async fn run_timers(quorum: Rc<Quorum>) {
     loop {
         let wait = quorum.machine.borrow().next().since(boot_now());
-        if wait > SHORTEST {
+        if wait > MIN_TIMER_WAIT {
             let timer = async {
-                Timer::after(micros(wait)).await;
+                Timer::after(to_duration(wait)).await;
             };
-            future::or(quorum.bell.heard(), timer).await;
+            future::or(quorum.changed.notified(), timer).await;
         } else {
-            // Whatever is said to be due, others have their turn first.
-            Timer::after(micros(SHORTEST)).await;
+            // Other tasks get their turn first, even if a timer is already due.
+            Timer::after(to_duration(MIN_TIMER_WAIT)).await;
         }
         if quorum.machine.borrow().next() <= boot_now() {
             quorum.step(Input::Tick);
@@ -446,58 +462,59 @@
     }
 }
 
-async fn accept(quorum: Rc<Quorum>, listener: Async<TcpListener>) {
+/// Accepts connections of other processes.
+async fn accept_members(quorum: Rc<Quorum>, listener: Async<TcpListener>) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                if quorum.conns.borrow().len() >= MOST_CONNECTIONS {
+                if quorum.conns.borrow().len() >= MAX_CONNECTIONS {
                     continue;
                 }
-                quorum.executor.spawn(called(quorum.clone(), stream, peer)).detach();
+                quorum.executor.spawn(serve_member(quorum.clone(), stream, peer)).detach();
                 future::yield_now().await;
             }
             Err(error) => {
-                warn!(event = "accept failed", reason = code(&error));
+                warn!(event = "accept failed", reason = error_code(&error));
                 Timer::after(Duration::from_millis(20)).await;
             }
         }
     }
 }
 
-/// One connection that was accepted.
-async fn called(quorum: Rc<Quorum>, stream: Async<TcpStream>, peer: SocketAddr) {
+/// Runs an accepted connection until it ends.
+async fn serve_member(quorum: Rc<Quorum>, stream: Async<TcpStream>, peer: SocketAddr) {
     let (conn, link) = (quorum.next_conn.get(), Rc::new(Link::default()));
     quorum.next_conn.set(conn + 1);
     quorum.conns.borrow_mut().insert(conn, link.clone());
     quorum.step(Input::Accepted(conn));
-    let heard = |frame: Result<Frame, frame::FrameError>| match frame {
+    let handle_frame = |frame: Result<Frame, frame::FrameError>| match frame {
         Ok(frame) => quorum.step(Input::Called(conn, frame)),
         Err(why) => quorum.step(Input::FrameError(conn, why)),
     };
-    let reason = drive(&stream, &link, &quorum.sent, heard).await;
+    let reason = drive(&stream, &link, &quorum.sent, handle_frame).await;
     quorum.conns.borrow_mut().remove(&conn);
     quorum.step(Input::Hung(conn));
     info!(event = "end", peer = %format_args!("member:{peer}"), reason);
 }
 
-/// The link to a voter, dialled again whenever it ends.
-async fn dial(quorum: Rc<Quorum>, voter: VoterId, address: SocketAddr, seed: u64) {
+/// Keeps up the link to a voter: connects again whenever it ends.
+async fn dial_voter(quorum: Rc<Quorum>, voter: VoterId, address: SocketAddr, seed: u64) {
     let mut backoff = Backoff::new(seed);
     while quorum.dialled.borrow().contains(&voter) {
-        if let Ok(stream) = within(CONNECT, Async::<TcpStream>::connect(address)).await {
+        if let Ok(stream) = with_timeout(CONNECT_TIMEOUT, Async::<TcpStream>::connect(address)).await {
             let _ = stream.get_ref().set_nodelay(true);
             let link = Rc::new(Link::default());
             quorum.links.borrow_mut().insert(voter, link.clone());
             quorum.step(Input::Up(voter));
             let mut welcomed = false;
-            let heard = |frame: Result<Frame, frame::FrameError>| match frame {
+            let handle_frame = |frame: Result<Frame, frame::FrameError>| match frame {
                 Ok(frame) => {
                     welcomed |= matches!(frame, Frame::Welcome(..));
                     quorum.step(Input::Answer(voter, frame));
                 }
                 Err(why) => link.finish(why.code()),
             };
-            let reason = drive(&stream, &link, &quorum.sent, heard).await;
+            let reason = drive(&stream, &link, &quorum.sent, handle_frame).await;
             quorum.links.borrow_mut().remove(&voter);
             quorum.step(Input::Down(voter));
             info!(event = "end", peer = %format_args!("voter:{address}"), reason, dropped = link.queue.borrow().dropped());
@@ -505,33 +522,33 @@
                 backoff.went_well();
             }
         }
-        Timer::after(micros(backoff.failed())).await;
+        Timer::after(to_duration(backoff.failed())).await;
     }
 }
 
-/// Reads and writes frames until the link ends; gives the reason's code.
+/// Reads and writes frames until the link ends. Returns the reason code of its end.
 async fn drive(
     stream: &Async<TcpStream>,
     link: &Link,
     sent: &Cell<(u64, u64)>,
-    mut heard: impl FnMut(Result<Frame, frame::FrameError>),
+    mut handle_frame: impl FnMut(Result<Frame, frame::FrameError>),
 ) -> &'static str {
     let read = async {
-        let (mut reader, mut buffer) = (Reader::default(), vec![0; TURN]);
+        let (mut reader, mut buffer) = (Reader::default(), vec![0; READ_BUFFER_BYTES]);
         loop {
             let n = match stream.read_with(|mut s| s.read(&mut buffer)).await {
                 Ok(0) => return "end-of-stream",
                 Ok(n) => n,
-                Err(error) => return code(&error),
+                Err(error) => return error_code(&error),
             };
             reader.feed(&buffer[..n]);
             loop {
                 match reader.take() {
                     Ok(None) => break,
-                    Ok(Some(frame)) => heard(Ok(frame)),
+                    Ok(Some(frame)) => handle_frame(Ok(frame)),
                     Err(why) => {
-                        heard(Err(why));
-                        // Why it ends is still on its way out.
+                        handle_frame(Err(why));
+                        // Gives the answer that names the error time to be written.
                         Timer::after(Duration::from_millis(50)).await;
                         return why.code();
                     }
@@ -542,29 +559,29 @@
     };
     let write = async {
         let mut writer = stream;
-        if within(STALLED, writer.write_all(&frame::preface())).await.is_err() {
+        if with_timeout(WRITE_TIMEOUT, writer.write_all(&frame::preface())).await.is_err() {
             return "stalled";
         }
         loop {
             let next = link.queue.borrow_mut().pop();
             let Some(bytes) = next else {
-                if let Some(reason) = link.ending.get() {
+                if let Some(reason) = link.end_reason.get() {
                     return reason;
                 }
-                link.bell.heard().await;
+                link.changed.notified().await;
                 continue;
             };
-            if let Err(error) = within(STALLED, writer.write_all(&bytes)).await {
-                return code(&error);
+            if let Err(error) = with_timeout(WRITE_TIMEOUT, writer.write_all(&bytes)).await {
+                return error_code(&error);
             }
             sent.set((sent.get().0 + 1, sent.get().1 + bytes.len() as u64));
         }
     };
     let end = async {
-        link.end.heard().await;
-        // What was queued before the end has a moment to leave, then it is over.
+        link.end_requested.notified().await;
+        // Gives frames that were queued before the end time to be written.
         Timer::after(Duration::from_millis(50)).await;
-        link.ending.get().unwrap_or("ended")
+        link.end_reason.get().unwrap_or("ended")
     };
     future::or(future::or(read, write), end).await
 }
--- a/src/net/quorum/commands.rs
+++ b/src/net/quorum/commands.rs
@@ -1,4 +1,4 @@
-//! Commands that ask the processes of a quorum: each opens a connection of its own and reads until it is answered.
+//! Commands to the processes of a quorum. Each command opens its own connection and reads until it is answered.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read as _};
@@ -9,8 +9,8 @@
 use async_io::Async;
 use futures_lite::AsyncWriteExt as _;
 
-use super::super::clock::unix;
-use super::super::reading::{TURN, within};
+use super::super::clock::unix_now;
+use super::super::reading::{READ_BUFFER_BYTES, with_timeout};
 use crate::disk;
 use crate::quorum::council::ReplaceError;
 use crate::quorum::frame::{self, Frame, Hello, Reader};
@@ -19,24 +19,24 @@
 use crate::quorum::{Duty, Name, QuorumConfig, Voter};
 use crate::rules::version::{Fate, Proposal, ProposeError, Version};
 
-/// How long a command waits for an answer.
-const COMMAND: Duration = Duration::from_secs(3);
+/// The time that a command waits for an answer of one process.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Asks one process and reads frames until one is an answer.
+/// Sends a frame to one process and reads frames until `answer` accepts one.
 async fn ask<T>(
     address: SocketAddr,
     hello: &Hello,
     frame: &Frame,
     answer: impl Fn(Frame) -> Option<T>,
 ) -> io::Result<T> {
-    let work = async {
+    let exchange = async {
         let mut stream = Async::<TcpStream>::connect(address).await?;
         let mut bytes = frame::preface();
         for frame in [&Frame::Hello(hello.clone()), frame] {
             bytes.extend(frame::encode(frame).unwrap_or_default());
         }
         stream.write_all(&bytes).await?;
-        let (mut reader, mut buffer) = (Reader::default(), vec![0; TURN]);
+        let (mut reader, mut buffer) = (Reader::default(), vec![0; READ_BUFFER_BYTES]);
         loop {
             let n = stream.read_with(|mut s| s.read(&mut buffer)).await?;
             if n == 0 {
@@ -55,41 +55,43 @@
             }
         }
     };
-    within(COMMAND, work).await
+    with_timeout(ANSWER_TIMEOUT, exchange).await
 }
 
-fn hello(setup: &QuorumConfig) -> Hello {
+/// Returns the greeting of a command, which is no process of the quorum.
+fn hello(config: &QuorumConfig) -> Hello {
     Hello {
-        cluster: setup.cluster.clone(),
+        cluster: config.cluster.clone(),
         process: None,
-        voters: setup.voter_names(),
+        voters: config.voter_names(),
         council: 0,
         papers: None,
     }
 }
 
-/// Processes that keep a log, in the order in which a command asks them: this one first, if it does.
-fn asked(setup: &QuorumConfig) -> Vec<(String, SocketAddr)> {
-    let own = |v: &&Voter| v.name == setup.name;
+/// Returns the processes that keep a log, in the order in which a command asks them: this one first, if it keeps one.
+fn processes_to_ask(config: &QuorumConfig) -> Vec<(String, SocketAddr)> {
+    let is_own = |v: &&Voter| v.name == config.name;
     let address = |v: &Voter| {
-        (v.name.0.clone(), if v.name == setup.name { setup.listen.unwrap_or(v.address) } else { v.address })
+        (v.name.0.clone(), if v.name == config.name { config.listen.unwrap_or(v.address) } else { v.address })
     };
-    let all = || setup.voters.iter().chain(&setup.spares);
-    all().filter(own).chain(all().filter(|v| !own(v))).map(address).collect()
+    let all = || config.voters.iter().chain(&config.spares);
+    all().filter(is_own).chain(all().filter(|v| !is_own(v))).map(address).collect()
 }
 
-/// What one process answered: the leader's word, or why it is not that.
-type Answered<T> = Result<T, String>;
+/// The answer of one process: the leader's answer, or why the process can't answer as the leader.
+type LeaderAnswer<T> = Result<T, String>;
 
-/// Asks one process after another until one answers as the leader does: its name and the answer; else what each said.
+/// Asks one process after another until one answers as the leader. Returns its name and the answer, or an error with
+/// the reason of each process.
 fn ask_leader<T>(
-    setup: &QuorumConfig,
+    config: &QuorumConfig,
     frame: &Frame,
-    answer: impl Fn(Frame) -> Option<Answered<T>>,
+    answer: impl Fn(Frame) -> Option<LeaderAnswer<T>>,
 ) -> Result<(String, T), String> {
     let mut problems = Vec::new();
-    for (name, address) in asked(setup) {
-        match async_io::block_on(ask(address, &hello(setup), frame, &answer)) {
+    for (name, address) in processes_to_ask(config) {
+        match async_io::block_on(ask(address, &hello(config), frame, &answer)) {
             Ok(Ok(done)) => return Ok((name, done)),
             Ok(Err(why)) => problems.push(format!("{name}: {why}")),
             Err(error) => problems.push(format!("{name} ({address}): {error}")),
@@ -98,70 +100,70 @@
     Err(problems.join("; "))
 }
 
-/// Asks one process after another how things stand, until one answers that a majority vouches for; else the best of
-/// what was answered.
+/// Asks one process after another until one gives an answer that a majority has confirmed. If none does, returns the
+/// newest answer.
 fn ask_best<T>(
-    setup: &QuorumConfig,
+    config: &QuorumConfig,
     frame: &Frame,
     answer: impl Fn(Frame) -> Option<T>,
-    vouched: impl Fn(&T) -> bool,
-    better: impl Fn(&T, &T) -> bool,
+    is_confirmed: impl Fn(&T) -> bool,
+    is_newer: impl Fn(&T, &T) -> bool,
 ) -> Result<T, String> {
     let (mut found, mut problems) = (None::<T>, Vec::new());
-    for (name, address) in asked(setup) {
-        match async_io::block_on(ask(address, &hello(setup), frame, &answer)) {
-            Ok(status) if vouched(&status) => return Ok(status),
+    for (name, address) in processes_to_ask(config) {
+        match async_io::block_on(ask(address, &hello(config), frame, &answer)) {
+            Ok(status) if is_confirmed(&status) => return Ok(status),
             Ok(status) => {
                 found = match found {
-                    Some(known) if !better(&status, &known) => Some(known),
+                    Some(known) if !is_newer(&status, &known) => Some(known),
                     _ => Some(status),
                 };
             }
             Err(error) => problems.push(format!("{name} ({address}): {error}")),
         }
     }
-    found.ok_or_else(|| format!("no voter answers: {}", problems.join("; ")))
+    found.ok_or_else(|| format!("no voter answered: {}", problems.join("; ")))
 }
 
-/// How things stand, told by the leader where one is known, else by the first voter that answers.
-pub fn show(setup: &QuorumConfig) -> Result<Status, String> {
+/// Returns the status of the quorum: a confirmed one if a process gives it, else the newest one.
+pub fn show(config: &QuorumConfig) -> Result<Status, String> {
     let answer = |frame: Frame| match frame {
         Frame::Status(status) => Some(*status),
         _ => None,
     };
-    let better = |new: &Status, known: &Status| {
+    let is_newer = |new: &Status, known: &Status| {
         known.barred.is_some() || (new.council, new.version) > (known.council, known.version)
     };
-    ask_best(setup, &Frame::Show, answer, |status| status.confirmed, better)
+    ask_best(config, &Frame::Show, answer, |status| status.confirmed, is_newer)
 }
 
-/// Asks the leader to have a duty handed on.
-pub fn hand_on(setup: &QuorumConfig, duty: &str) -> Result<(), String> {
-    let no = || format!("does not lead, or nobody holds {duty}");
+/// Asks the leader to hand a duty on to another process.
+pub fn hand_on(config: &QuorumConfig, duty: &str) -> Result<(), String> {
+    let refusal = || format!("does not lead the quorum, or no process holds {duty}");
     let answer = |frame: Frame| match frame {
-        Frame::HandingOn(done, _) => Some(if done { Ok(()) } else { Err(no()) }),
+        Frame::HandingOn(done, _) => Some(if done { Ok(()) } else { Err(refusal()) }),
         _ => None,
     };
-    ask_leader(setup, &Frame::HandOn(Duty(duty.to_owned())), answer).map(|_| ())
+    ask_leader(config, &Frame::HandOn(Duty(duty.to_owned())), answer).map(|_| ())
 }
 
-/// How long a command waits for a change of voters to be through.
-const THROUGH: Duration = Duration::from_secs(30);
+/// The time that a command waits for a change of voters or rules to take effect.
+const COMPLETION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Has a voter replaced by a process that offers itself, and waits until the new voters have a leader.
-pub fn replace(setup: &QuorumConfig, gone: &str, new: &str) -> Result<Status, String> {
+/// Asks the leader to replace a voter by a process that offers itself, and waits until the new voters have a leader.
+pub fn replace(config: &QuorumConfig, gone: &str, new: &str) -> Result<Status, String> {
     let frame = Frame::Replace(Name(gone.to_owned()), Name(new.to_owned()));
-    // Whatever else the leader says, whoever else is asked does not know better.
+    // Only a process that does not lead is passed over: any other refusal is the leader's and final.
     let answer = |frame: Frame| match frame {
         Frame::Replacing(Err(why @ ReplaceError::NotLeading)) => Some(Err(why.to_string())),
         Frame::Replacing(done) => Some(Ok(done)),
         _ => None,
     };
-    let (name, done) = ask_leader(setup, &frame, answer)?;
+    let (name, done) = ask_leader(config, &frame, answer)?;
     let number = done.map_err(|why| format!("{name}: {why}"))?;
-    let until = Instant::now() + THROUGH;
-    while Instant::now() < until {
-        if let Ok(status) = show(setup)
+    let deadline = Instant::now() + COMPLETION_TIMEOUT;
+    while Instant::now() < deadline {
+        if let Ok(status) = show(config)
             && status.council >= number
             && status.confirmed
         {
@@ -169,43 +171,45 @@
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    Err(format!("{name}: council {number} was proposed, but nobody led it within 30 s; see `quorum show`"))
+    Err(format!("{name}: council {number} was proposed, but has no leader after 30 s; see `quorum show`"))
 }
 
-/// The rules, told by the leader where one is known, else by the first that answers.
-pub fn rules(setup: &QuorumConfig) -> Result<RulesStatus, String> {
+/// Returns the status of the rules: a confirmed one if a process gives it, else the newest one.
+pub fn rules(config: &QuorumConfig) -> Result<RulesStatus, String> {
     let answer = |frame: Frame| match frame {
         Frame::RulesAre(status) => Some(*status),
         _ => None,
     };
-    let better = |new: &RulesStatus, known: &RulesStatus| new.ruled.last > known.ruled.last;
-    ask_best(setup, &Frame::Rules, answer, |status| status.confirmed, better)
+    let is_newer = |new: &RulesStatus, known: &RulesStatus| new.ruled.last > known.ruled.last;
+    ask_best(config, &Frame::Rules, answer, |status| status.confirmed, is_newer)
 }
 
-/// Proposes a document of rules; with `wait` until it is in force. Gives its number.
-pub fn propose(setup: &QuorumConfig, proposal: &Proposal, wait: bool) -> Result<u64, String> {
-    let at_ms = unix().0 / 1_000;
+/// Proposes a document of rules, and waits until it is in force if `wait` is set. Returns its version number.
+pub fn propose(config: &QuorumConfig, proposal: &Proposal, wait: bool) -> Result<u64, String> {
+    let at_ms = unix_now().0 / 1_000;
     let frame = Frame::Propose(Box::new(Proposal { at_ms, ..proposal.clone() }));
     let answer = |frame: Frame| match frame {
         Frame::Proposed(Err(why @ ProposeError::NotLeading)) => Some(Err(why.to_string())),
         Frame::Proposed(done) => Some(Ok(done)),
         _ => None,
     };
-    let (_, done) = ask_leader(setup, &frame, answer)?;
+    let (_, done) = ask_leader(config, &frame, answer)?;
     let number = done.map_err(|why| why.to_string())?;
-    if wait { in_force(setup, number, &Version::digest_of(&proposal.text)) } else { Ok(number) }
+    if wait { wait_until_in_force(config, number, &Version::digest_of(&proposal.text)) } else { Ok(number) }
 }
 
-fn in_force(setup: &QuorumConfig, number: u64, digest: &str) -> Result<u64, String> {
-    let until = Instant::now() + THROUGH;
-    while Instant::now() < until {
-        if let Ok(status) = rules(setup)
+/// Waits until a proposed version is in force. Returns its number.
+fn wait_until_in_force(config: &QuorumConfig, number: u64, digest: &str) -> Result<u64, String> {
+    let deadline = Instant::now() + COMPLETION_TIMEOUT;
+    while Instant::now() < deadline {
+        if let Ok(status) = rules(config)
             && status.ruled.last >= number
         {
             let ruled = &status.ruled;
             let past = ruled.past.iter().find(|p| p.version.number == number);
             let current = ruled.force.iter().chain(&ruled.announced).find(|v| v.number == number);
-            // The leader that took the proposal may have gone before it was agreed on, and another's be there now.
+            // The leader that took the proposal may have failed before it was agreed on, and another document may have
+            // its number now.
             if let Some(other) = current.or(past.map(|p| &p.version)).filter(|v| v.digest != digest) {
                 return Err(format!(
                     "version {number} is another document, by {}: propose again",
@@ -224,17 +228,17 @@
     Err(format!("version {number} is not in force after 30 s; see `rules show`"))
 }
 
-/// Has the announced version withdrawn.
-pub fn abort(setup: &QuorumConfig, number: u64) -> Result<(), String> {
-    let no = || format!("does not lead, or version {number} is not announced");
+/// Asks the leader to withdraw the announced version.
+pub fn abort(config: &QuorumConfig, number: u64) -> Result<(), String> {
+    let refusal = || format!("does not lead the quorum, or version {number} is not announced");
     let answer = |frame: Frame| match frame {
-        Frame::Aborting(done) => Some(if done { Ok(()) } else { Err(no()) }),
+        Frame::Aborting(done) => Some(if done { Ok(()) } else { Err(refusal()) }),
         _ => None,
     };
-    ask_leader(setup, &Frame::Abort(number), answer).map(|_| ())
+    ask_leader(config, &Frame::Abort(number), answer).map(|_| ())
 }
 
-/// The fleet's record, joined from the files of a folder.
+/// Returns the fleet's record, joined from the files of a folder.
 pub fn read_record(folder: &Path) -> Result<record::Joined, String> {
     let failed = |path: PathBuf, e: io::Error| format!("{}: {e}", path.display());
     let names = disk::lengths(folder).map_err(|e| failed(folder.to_owned(), e))?;
