--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -74,7 +74,7 @@
     assert_eq!(async_io::block_on(drive(&shared, conn, &stream, &outbox, Towards::Server)), "replaced");
     drop(stream);
     last_words.join().unwrap();
-    assert_eq!(shared.node.borrow().held(), (1, 0), "the last words were heard");
+    assert_eq!(shared.node.borrow().open_counts(), (1, 0), "the last words were heard");
 }
 
 /// A request lies in the buffer when its connection is to be let go: it is heard, and the connection stays. Seen to
@@ -89,7 +89,7 @@
     outbox.let_go("idle");
     drop(peer);
     assert_eq!(async_io::block_on(drive(&shared, conn, &stream, &outbox, Towards::Client)), "end-of-stream");
-    assert_eq!(shared.node.borrow().held(), (1, 0), "the request was heard before the end");
+    assert_eq!(shared.node.borrow().open_counts(), (1, 0), "the request was heard before the end");
     // With nothing more to hear a connection goes.
     let peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let stream = Async::new(listener.accept().unwrap().0).unwrap();
--- a/src/node/ending.rs
+++ b/src/node/ending.rs
@@ -57,7 +57,7 @@
 
     /// What is still waited for.
     pub fn remaining(&self) -> Remaining {
-        let (unanswered, playing) = self.held();
+        let (unanswered, playing) = self.open_counts();
         Remaining { unanswered, playing, clients: self.viewers.len(), unheard_ends: self.ending() }
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -154,7 +154,7 @@
     }
 
     /// Requests that are owed an answer, and sessions that stand.
-    pub fn held(&self) -> (usize, usize) {
+    pub fn open_counts(&self) -> (usize, usize) {
         (self.broker.unanswered(), self.broker.established())
     }
 
--- a/tests/cuts.rs
+++ b/tests/cuts.rs
@@ -377,7 +377,7 @@
         for (place, made) in &standing {
             assert!(!made.told && !named, "seed {seed}: {place} of booking {} stands", made.booking);
         }
-        assert_eq!(world.node.held(), (0, 0), "seed {seed}: the broker holds nothing");
+        assert_eq!(world.node.open_counts(), (0, 0), "seed {seed}: the broker holds nothing");
         assert_eq!(world.node.ending(), 0, "seed {seed}: every end was heard");
         for status in [200, 201] {
             assert!(world.statuses.contains_key(&status), "seed {seed}: {:?}", world.statuses);
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -358,7 +358,7 @@
     world.bytes(viewer, format!("{line}\n").as_bytes());
     world.node.opened(world.now, edge, &mut world.out);
     assert!(!world.out.iter().any(|c| matches!(c, Command::Write(conn, ..) if *conn == edge)));
-    assert_eq!(world.node.held(), (0, 0));
+    assert_eq!(world.node.open_counts(), (0, 0));
 }
 
 /// Seen after a restart, when many set-ups timed out: a connection that had been silent was left for a new one,
@@ -404,7 +404,7 @@
     assert!(world.closing().is_empty(), "one that was heard may ask more, and one waits for its answer");
     world.pass(1400);
     assert_eq!(world.closing(), [(heard, "idle")]);
-    assert!(world.node.held().1 > 0 && !world.closing().iter().any(|(conn, _)| *conn == plays));
+    assert!(world.node.open_counts().1 > 0 && !world.closing().iter().any(|(conn, _)| *conn == plays));
 }
 
 /// Guards against connections by the hundred that keep usual clients out: descriptors are few.
@@ -459,14 +459,14 @@
     for (n, figures) in bad.into_iter().enumerate() {
         ask(&mut world, n as u64, figures);
         assert!(world.written(viewer).contains("\"cause\":47"), "{figures:?}");
-        assert_eq!((world.out.len(), world.node.held()), (1, (0, 0)), "{figures:?}");
+        assert_eq!((world.out.len(), world.node.open_counts()), (1, (0, 0)), "{figures:?}");
     }
     ask(&mut world, 100, good);
     assert_eq!(world.dials().len(), 1);
     // A session said to play at a server that nobody knows would never end.
     ask(&mut world, 101, ("clip", "0", "home:0;copies:3;top:1;at:s-7"));
     assert!(world.written(viewer).contains("\"cause\":41"));
-    assert_eq!(world.node.held(), (1, 0));
+    assert_eq!(world.node.open_counts(), (1, 0));
 }
 
 /// Seen on a day with bad clients: the second set-up under one id was dropped without a word.
@@ -515,7 +515,7 @@
     let written = world.written(viewer);
     assert!(written.contains("\"cause\":47") && written.contains("0000000000000002"), "paid may have run");
     assert_eq!(world.dials().len(), 1, "harmless goes again, on a new connection");
-    assert_eq!(world.node.held(), (1, 1));
+    assert_eq!(world.node.open_counts(), (1, 1));
 }
 
 /// Guards against an answer that is cut short: it holds up all that is behind it.
