--- a/src/node/ending.rs
+++ b/src/node/ending.rs
@@ -58,7 +58,7 @@
     /// What is still waited for.
     pub fn remaining(&self) -> Remaining {
         let (unanswered, playing) = self.open_counts();
-        Remaining { unanswered, playing, clients: self.viewers.len(), unheard_ends: self.ending() }
+        Remaining { unanswered, playing, clients: self.viewers.len(), unheard_ends: self.unheard_ends() }
     }
 
     /// Requests that a connection takes with it if it ends now: those of its client, or set-ups that are out on it.
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -133,7 +133,7 @@
     }
 
     /// Ends that servers have not heard yet.
-    pub fn ending(&self) -> usize {
+    pub fn unheard_ends(&self) -> usize {
         self.pool.ending()
     }
 
--- a/tests/cuts.rs
+++ b/tests/cuts.rs
@@ -378,7 +378,7 @@
             assert!(!made.told && !named, "seed {seed}: {place} of booking {} stands", made.booking);
         }
         assert_eq!(world.node.open_counts(), (0, 0), "seed {seed}: the broker holds nothing");
-        assert_eq!(world.node.ending(), 0, "seed {seed}: every end was heard");
+        assert_eq!(world.node.unheard_ends(), 0, "seed {seed}: every end was heard");
         for status in [200, 201] {
             assert!(world.statuses.contains_key(&status), "seed {seed}: {:?}", world.statuses);
         }
