--- a/lab/src/world/brokers.rs
+++ b/lab/src/world/brokers.rs
@@ -33,7 +33,7 @@
             let ready = listed.entry.state == ServerState::Ready;
             self.rules.told(broker, &listed.entry.id.0, (!ready).then_some(now));
         }
-        self.with(broker, |node, out| node.news(now, news, out));
+        self.with(broker, |node, out| node.update_server_list(now, news, out));
     }
 
     /// Brokers hear of a box late, each at its own time.
--- a/src/net/files.rs
+++ b/src/net/files.rs
@@ -66,7 +66,7 @@
 /// Announces a generation in the log and tells the node of it.
 pub(super) fn announce(shared: &Handle, taken: GenerationChange) {
     log_taken(&taken);
-    step(shared, |node, now, out| node.news(now, taken.news, out));
+    step(shared, |node, now, out| node.update_server_list(now, taken.news, out));
     shared.listed.ring();
 }
 
@@ -229,7 +229,7 @@
                         .clone()
                         .map(|c| shared.roster.borrow_mut().restore(now, kept.generation, c, &started));
                     if let Some(OfferOutcome::Taken(taken)) = verdict {
-                        step(shared, |node, now, out| node.news(now, taken.news, out));
+                        step(shared, |node, now, out| node.update_server_list(now, taken.news, out));
                     }
                     self.adopt(shared, lists);
                 }
@@ -381,7 +381,7 @@
         };
         if let Some(news) = parted {
             info!(event = "list.parted", servers = news.servers.len());
-            step(&shared, |node, now, out| node.news(now, news, out));
+            step(&shared, |node, now, out| node.update_server_list(now, news, out));
         }
     }
 }
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -49,7 +49,7 @@
     }
 
     /// News of the list of servers.
-    pub fn news(&mut self, now: Micros, news: ListUpdate, out: &mut Vec<Command>) {
+    pub fn update_server_list(&mut self, now: Micros, news: ListUpdate, out: &mut Vec<Command>) {
         if !news.servers.is_empty() {
             self.phase.listed();
         }
--- a/tests/cuts.rs
+++ b/tests/cuts.rs
@@ -120,7 +120,7 @@
         };
         let mut out = Vec::new();
         let news = ListUpdate { kind: ListKind::Complete, servers: config.servers.clone() };
-        world.node.news(world.now, news, &mut out);
+        world.node.update_server_list(world.now, news, &mut out);
         world.carry_out(out);
         world
     }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -36,7 +36,11 @@
     fn list(&mut self, id: &str, state: ServerState, port: u16) {
         let entry = ServerEntry::new(ServerId::new(id), state, 0);
         let servers = vec![ListedServer::new(entry, ([127, 0, 0, 1], port).into())];
-        self.node.news(self.now, ListUpdate { kind: ListKind::Changes, servers }, &mut self.out);
+        self.node.update_server_list(
+            self.now,
+            ListUpdate { kind: ListKind::Changes, servers },
+            &mut self.out,
+        );
     }
 
     fn viewer(&mut self) -> ConnId {
@@ -198,7 +202,11 @@
 fn what_a_complete_list_leaves_out_is_lost() {
     let mut world = World::new();
     let (viewer, _) = world.playing();
-    world.node.news(world.now, ListUpdate { kind: ListKind::Complete, servers: Vec::new() }, &mut world.out);
+    world.node.update_server_list(
+        world.now,
+        ListUpdate { kind: ListKind::Complete, servers: Vec::new() },
+        &mut world.out,
+    );
     assert!(world.ended(viewer));
 }
 
@@ -551,7 +559,11 @@
         let (entry, address) =
             (ServerEntry::new(ServerId::new(&server), ServerState::Ready, 0), [127, 0, 0, 1]);
         let servers = vec![ListedServer::new(entry, (address, 1 + (n % 7) as u16).into())];
-        world.node.news(world.now, ListUpdate { kind: ListKind::Complete, servers }, &mut world.out);
+        world.node.update_server_list(
+            world.now,
+            ListUpdate { kind: ListKind::Complete, servers },
+            &mut world.out,
+        );
         let viewer = world.viewer();
         let line = json!({"type": "setup", "id": format!("{:016x}", id.0), "sdp": "offer", "fields":
             {"class": "clip", "left": 4000, "key": format!("k{n}"), "extras": "home:0;copies:3;top:1"}});
@@ -626,7 +638,7 @@
     let paths = amberspindle::roster::Paths { set_up: "/whep/{title}".into(), end: None, events: None };
     let listed = ListedServer { entry, address: ([127, 0, 0, 1], 1).into(), paths: Some(paths) };
     let news = ListUpdate { kind: ListKind::Changes, servers: vec![listed] };
-    world.node.news(world.now, news, &mut world.out);
+    world.node.update_server_list(world.now, news, &mut world.out);
     assert!(world.ended(viewer), "what stood there is over");
     // The module leaves a server alone for a while whose sessions were lost.
     world.pass(4000);
