--- a/lab/src/world/viewers.rs
+++ b/lab/src/world/viewers.rs
@@ -40,7 +40,7 @@
         let conn = match self.slots[broker].viewers {
             Some(conn) => conn,
             None => {
-                let conn = self.slots[broker].node.number();
+                let conn = self.slots[broker].node.allocate_conn_id();
                 self.slots[broker].viewers = Some(conn);
                 self.with(broker, |node, _| node.accepted(now, conn, Protocol::Platform));
                 conn
--- a/src/net/conns.rs
+++ b/src/net/conns.rs
@@ -182,7 +182,7 @@
     let _ = stream.get_ref().set_nodelay(true);
     let stream = Rc::new(stream);
     let outbox = Rc::new(Outbox::new(&shared.queues.clients));
-    let conn = step(&shared, |node, _, _| node.number());
+    let conn = step(&shared, |node, _, _| node.allocate_conn_id());
     shared.boxes.borrow_mut().insert(conn, outbox.clone());
     shared.clients.borrow_mut().insert(conn, stream.clone());
     step(&shared, |node, now, _| node.accepted(now, conn, front));
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -21,7 +21,7 @@
 fn accepted(shared: &Handle, listener: &TcpListener) -> (ConnId, Async<TcpStream>, Rc<Outbox>) {
     let stream = Async::new(listener.accept().unwrap().0).unwrap();
     let outbox = Rc::new(Outbox::new(&shared.queues.clients));
-    let conn = step(shared, |node, _, _| node.number());
+    let conn = step(shared, |node, _, _| node.allocate_conn_id());
     shared.boxes.borrow_mut().insert(conn, outbox.clone());
     step(shared, |node, now, _| node.accepted(now, conn, Protocol::Platform));
     (conn, stream, outbox)
--- a/src/node/connections.rs
+++ b/src/node/connections.rs
@@ -10,8 +10,8 @@
 
 impl Node {
     /// A number for a connection.
-    pub fn number(&mut self) -> ConnId {
-        self.links.number()
+    pub fn allocate_conn_id(&mut self) -> ConnId {
+        self.links.allocate_conn_id()
     }
 
     /// A client's connection was accepted.
--- a/src/platform/links.rs
+++ b/src/platform/links.rs
@@ -136,7 +136,7 @@
     }
 
     /// Numbers for connections of other fronts come from here too.
-    pub fn number(&mut self) -> ConnId {
+    pub fn allocate_conn_id(&mut self) -> ConnId {
         self.next += 1;
         ConnId(self.next)
     }
@@ -155,7 +155,7 @@
 
     fn dial(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) -> Option<ConnId> {
         let address = *self.addresses.get(server)?;
-        let conn = self.number();
+        let conn = self.allocate_conn_id();
         let link = Link { server: server.clone(), heard: now, used: now, ..Link::default() };
         self.links.insert(conn, link);
         out.push(Command::Dial(conn, address));
--- a/tests/cuts.rs
+++ b/tests/cuts.rs
@@ -291,7 +291,7 @@
         let path = format!("/whip/walk/bookings/b-{booking}");
         let bytes = if deletes { http("DELETE", &path, None) } else { http("POST", &path, Some(&offer)) };
         let cut = self.cut(bytes.len());
-        let conn = self.node.number();
+        let conn = self.node.allocate_conn_id();
         let (asked, responses, answers) = (self.now, Responses::default(), Vec::new());
         let whole = cut.is_none_or(|cut| cut == bytes.len());
         self.clients.insert(conn, Client { booking, tries, deletes, whole, asked, responses, answers });
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -44,7 +44,7 @@
     }
 
     fn viewer(&mut self) -> ConnId {
-        let conn = self.node.number();
+        let conn = self.node.allocate_conn_id();
         self.node.accepted(self.now, conn, Protocol::Platform);
         conn
     }
