--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -26,13 +26,13 @@
     let new = match read {
         Ok(new) => new,
         Err(problem) => {
-            shared.node.borrow_mut().reread(false);
+            shared.node.borrow_mut().record_reload(false);
             return warn!(event = "reload refused", problem = %problem);
         }
     };
     // A file that is not whole is none: nothing of it is taken.
     if let Some(field) = missing(&old.raw, &new.raw).filter(|_| !old.raw.is_null()) {
-        shared.node.borrow_mut().reread(false);
+        shared.node.borrow_mut().record_reload(false);
         return warn!(event = "reload refused", problem = %format_args!("{field}: missing, though the file in force has it"));
     }
     let mut fixed = old.fixed(&new);
@@ -58,7 +58,7 @@
         shared.board_moved.ring();
     }
     (old.board, old.known, old.servers, old.raw) = (new.board, new.known, new.servers, new.raw);
-    shared.node.borrow_mut().reread(true);
+    shared.node.borrow_mut().record_reload(true);
     info!(event = "reloaded", last = shared.board.borrow().last());
 }
 
--- a/src/node/operate.rs
+++ b/src/node/operate.rs
@@ -68,7 +68,7 @@
     }
 
     /// A new configuration was taken in, or turned down.
-    pub fn reread(&mut self, taken: bool) {
+    pub fn record_reload(&mut self, taken: bool) {
         self.figures.file(taken);
     }
 
