--- a/src/net/conns.rs
+++ b/src/net/conns.rs
@@ -92,7 +92,7 @@
                     let whole = outbox.written(n);
                     if !whole.sessions.is_empty() {
                         let now = shared.now();
-                        shared.node.borrow_mut().written_whole(now, conn, &whole.sessions);
+                        shared.node.borrow_mut().record_fully_written(now, conn, &whole.sessions);
                     }
                     whole.withdrawals.iter().for_each(|id| tell_withdrawn(shared, conn, *id));
                 }
--- a/src/node/operate.rs
+++ b/src/node/operate.rs
@@ -59,7 +59,7 @@
     }
 
     /// What is marked by these sessions was written whole: attempts on a connection to a server, answers on a client's.
-    pub fn written_whole(&mut self, now: Micros, conn: ConnId, marked: &[SessionId]) {
+    pub fn record_fully_written(&mut self, now: Micros, conn: ConnId, marked: &[SessionId]) {
         if self.links.has(conn) || self.pool.has(conn) {
             marked.iter().for_each(|id| self.figures.relayed(*id));
         } else if let Some(tracer) = &mut self.tracer {
