--- a/src/net/files.rs
+++ b/src/net/files.rs
@@ -377,7 +377,7 @@
         }
         let parted = {
             let node = shared.node.borrow();
-            shared.roster.borrow_mut().part(now, |id| node.busy(id))
+            shared.roster.borrow_mut().part(now, |id| node.has_sessions_at(id))
         };
         if let Some(news) = parted {
             info!(event = "list.parted", servers = news.servers.len());
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -190,7 +190,7 @@
     }
 
     /// Whether anything is set up, or waits for it, at a server.
-    pub fn busy(&self, server: &ServerId) -> bool {
+    pub fn has_sessions_at(&self, server: &ServerId) -> bool {
         self.broker.has_established_at(server)
     }
 
