--- a/src/net/run.rs
+++ b/src/net/run.rs
@@ -77,7 +77,7 @@
 ) -> Option<Rc<RefCell<files::Files>>> {
     let watched = config.watch.clone().map(|setup| files::start(shared, config, setup));
     if config.board.is_some() || config.eureka.is_some() || watched.is_some() {
-        step(shared, |node, now, _| node.awaits_list(now));
+        step(shared, |node, now, _| node.await_list(now));
     }
     if !config.servers.is_empty() {
         files::hear(shared, Source::Fixed, whole(config.servers.clone()));
--- a/src/node/operate.rs
+++ b/src/node/operate.rs
@@ -73,7 +73,7 @@
     }
 
     /// A list is to come from some source: see [`crate::operate::phase::Phase::awaits_list`].
-    pub fn awaits_list(&mut self, now: Micros) {
+    pub fn await_list(&mut self, now: Micros) {
         self.phase.awaits_list(now);
     }
 
