--- a/src/net/ending.rs
+++ b/src/net/ending.rs
@@ -74,7 +74,7 @@
                 Step::LastCall => ending.last_calls.iter().for_each(|bell| bell.ring()),
                 // Nothing runs between the count and this: what comes from here on is turned away.
                 Step::CloseDoors => step(shared, |node, _, out| node.start_refusing(out)),
-                Step::Release => step(shared, |node, now, out| node.end(now, out)),
+                Step::Release => step(shared, |node, now, out| node.shut_down(now, out)),
                 Step::Exit => {
                     reports.cancel().await;
                     tell_remaining(shared, plan);
--- a/src/node/ending.rs
+++ b/src/node/ending.rs
@@ -50,7 +50,7 @@
     }
 
     /// The program ends: nothing may be left standing that nobody holds.
-    pub fn end(&mut self, now: Micros, out: &mut Vec<Command>) {
+    pub fn shut_down(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.tell(now, Input::Shutdown, out);
         self.let_all_go(out);
     }
