--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -135,7 +135,7 @@
         let mut node = shared.node.borrow_mut();
         if node.has_rules() {
             // Read anew for each step: what is decided after a stall is decided by the moment behind it.
-            node.set_boot(quorum::boot_now());
+            node.set_boot_time(quorum::boot_now());
         }
         (act(&mut node, now, &mut commands), node.take_log(), node.take_trace(), node.take_messages())
     };
--- a/src/node/ruled.rs
+++ b/src/node/ruled.rs
@@ -29,7 +29,7 @@
     }
 
     /// The moment on the clock by which rules count, as it is now.
-    pub fn set_boot(&mut self, boot: BootTime) {
+    pub fn set_boot_time(&mut self, boot: BootTime) {
         if let Some(ruled) = &mut self.ruled {
             ruled.boot = boot;
         }
