--- a/src/net/run.rs
+++ b/src/net/run.rs
@@ -132,7 +132,7 @@
     };
     let told = shared.clone();
     let ruled = move |standing: LocalRules| {
-        step(&told, |node, now, out| node.ruled(now, standing, out));
+        step(&told, |node, now, out| node.set_rules(now, standing, out));
     };
     let quorum = quorum::start(&shared.executor, setup, incarnation, Box::new(paced), Box::new(ruled))?;
     shared.executor.spawn(count(shared.clone(), quorum.clone())).detach();
--- a/src/node/ruled.rs
+++ b/src/node/ruled.rs
@@ -36,7 +36,7 @@
     }
 
     /// What this broker acts on from now on.
-    pub fn ruled(&mut self, now: Micros, standing: LocalRules, out: &mut Vec<Command>) {
+    pub fn set_rules(&mut self, now: Micros, standing: LocalRules, out: &mut Vec<Command>) {
         let ruled = self.ruled.get_or_insert_with(Ruled::default);
         let before = std::mem::replace(&mut ruled.standing, standing).versions();
         // Each answer to a beat comes by here; who is barred changes with the versions alone.
