--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -176,7 +176,7 @@
 pub(super) async fn start(shared: Handle, handover: Rc<Handover>) {
     let most_sessions = step(&shared, |node, _, _| {
         node.await_predecessor();
-        node.most_sessions()
+        node.max_sessions()
     });
     let heir = Successor::new(shared.now(), handover.started, most_sessions);
     let until = heir.deadline();
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -16,7 +16,7 @@
     }
 
     /// Sessions that memory allows at most.
-    pub fn most_sessions(&self) -> usize {
+    pub fn max_sessions(&self) -> usize {
         self.broker.most_sessions()
     }
 
