--- a/src/net/ending.rs
+++ b/src/net/ending.rs
@@ -10,7 +10,7 @@
 use super::handover::Handover;
 use super::outbox::Bell;
 use super::{Handle, step};
-use crate::node::{HeldRequest, Remaining};
+use crate::node::{Remaining, UnansweredRequest};
 use crate::operate::planned_end::{KillPolicy, RemainingWork, ShutdownPlan, Step};
 
 /// Time between two looks at what is left.
@@ -101,7 +101,7 @@
     let now = shared.now();
     let left_ms = (plan.kill_at() - now).0 / 1000;
     info!(event = "ending", unanswered, playing, clients, unheard_ends, unwritten, left_ms);
-    for HeldRequest { id, class, conn, server, due } in shared.node.borrow().last_due(MOST_NAMED) {
+    for UnansweredRequest { id, class, conn, server, due } in shared.node.borrow().last_due(MOST_NAMED) {
         let (id, due_in_ms) = (format!("{:016x}", id.0), (due - now).0 / 1000);
         let conn = conn.map_or(0, |conn| conn.0);
         let server = server.map_or_else(|| "none".to_owned(), |server| server.to_string());
--- a/src/node/ending.rs
+++ b/src/node/ending.rs
@@ -20,7 +20,7 @@
 
 /// A request that keeps a process up.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeldRequest {
+pub struct UnansweredRequest {
     /// The request.
     pub id: SessionId,
     /// Name of its class.
@@ -68,8 +68,8 @@
     }
 
     /// The requests whose answers may come last, so many at most.
-    pub fn last_due(&self, most: usize) -> Vec<HeldRequest> {
-        let held = |open: OpenRequest| HeldRequest {
+    pub fn last_due(&self, most: usize) -> Vec<UnansweredRequest> {
+        let held = |open: OpenRequest| UnansweredRequest {
             class: super::named(&self.names.classes, open.class).to_owned(),
             conn: self.homes.get(&open.id).copied(),
             id: open.id,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -28,7 +28,7 @@
 use crate::roster::SettingNames;
 use crate::trace::{Event as Traced, Tracer};
 use crate::whip::{self, Title};
-pub use ending::{HeldRequest, Remaining};
+pub use ending::{Remaining, UnansweredRequest};
 use viewer_conn::ViewerConn;
 
 /// The part of the memory that sessions and their descriptions may take: the latter lie in the queues to servers
