--- a/src/platform/links/link.rs
+++ b/src/platform/links/link.rs
@@ -7,7 +7,7 @@
 use crate::broker::Description;
 use crate::message::binary::{Decoder, Packet, code};
 use crate::message::{Kind, Malformed};
-use crate::platform::load_report;
+use crate::platform::parse_load_report;
 
 /// What waits to be written.
 #[derive(Debug)]
@@ -74,7 +74,7 @@
                 Kind::Release => {
                     let cause = packet.cause().ok_or(Malformed::BadField)?;
                     self.set_ups.remove(&id);
-                    let load = packet.text(code::LOAD).map(load_report).unwrap_or_default();
+                    let load = packet.text(code::LOAD).map(parse_load_report).unwrap_or_default();
                     heard.push(ServerMessage::Release(id, cause, load));
                 }
                 Kind::Note => heard.extend(note(&packet).map(|note| ServerMessage::Note(id, note))),
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -8,7 +8,7 @@
 use crate::api::{Class, Load, Settings};
 
 /// Reads a load report such as `x0:12;x1:40;queue:3`; what is not known or not a number is skipped.
-pub fn load_report(text: &str) -> Load {
+pub fn parse_load_report(text: &str) -> Load {
     let mut load = Load::default();
     for (name, value) in text.split([';', ',']).filter_map(|pair| pair.split_once(':')) {
         let Some(value) = value.trim().parse::<f64>().ok().filter(|v| v.is_finite()) else { continue };
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -6,7 +6,7 @@
 use amberspindle::message::line::Line;
 use amberspindle::message::{Kind, LARGEST, Malformed, binary, line};
 use amberspindle::platform::links::{ConnId, Links};
-use amberspindle::platform::load_report;
+use amberspindle::platform::parse_load_report;
 use amberspindle::platform::timings::Timings;
 use amberspindle::platform::viewer::{Viewer, ViewerMessage};
 use amberspindle::roster::SettingNames;
@@ -176,7 +176,7 @@
             assert!(heard.is_empty(), "an unknown connection says nothing");
         });
         let text = String::from_utf8_lossy(&bytes);
-        let _ = load_report(&text);
+        let _ = parse_load_report(&text);
         if let Some(route) = Route::parse(&text) {
             assert!(text.starts_with('/'), "{route:?}");
         }
