--- a/src/node/connections.rs
+++ b/src/node/connections.rs
@@ -50,16 +50,16 @@
             return;
         }
         let Some(c) = self.viewers.get_mut(&conn).filter(|c| !c.closing && !c.repeats) else { return };
-        c.viewer.feed(bytes);
+        c.decoder.feed(bytes);
         loop {
             let Some(c) = self.viewers.get_mut(&conn).filter(|c| !c.closing && !c.repeats) else { return };
-            match c.viewer.next(now, &self.names, &self.settings) {
+            match c.decoder.next_message(now, &self.names, &self.settings) {
                 Ok(Some(said)) => {
                     (c.used, c.begun, c.spoke) = (now, None, true);
                     self.said(now, conn, said, out);
                 }
                 Ok(None) => {
-                    c.begun = if c.viewer.begun() { c.begun.or(Some(now)) } else { None };
+                    c.begun = if c.decoder.has_partial_message() { c.begun.or(Some(now)) } else { None };
                     return self.let_all_go(out);
                 }
                 Err(error) => {
--- a/src/node/viewer_conn.rs
+++ b/src/node/viewer_conn.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use crate::api::{Micros, SessionId};
-use crate::platform::viewer::Viewer;
+use crate::platform::viewer::ViewerDecoder;
 
 /// A viewer's connection that has said nothing whole for so long after it was accepted is closed, and one that
 /// leaves a message unfinished for so long: the platform's clients connect when they have something to ask.
@@ -18,7 +18,7 @@
 /// What is known of it.
 #[derive(Default)]
 pub(super) struct ViewerConn {
-    pub(super) viewer: Viewer,
+    pub(super) decoder: ViewerDecoder,
     /// Set-ups of this connection that are owed an answer.
     pub(super) open: BTreeSet<SessionId>,
     /// When it last said something whole, or was answered.
--- a/src/platform/viewer.rs
+++ b/src/platform/viewer.rs
@@ -25,23 +25,23 @@
 
 /// The reading side of one connection.
 #[derive(Debug, Default)]
-pub struct Viewer {
+pub struct ViewerDecoder {
     decoder: Decoder,
 }
 
-impl Viewer {
+impl ViewerDecoder {
     /// Takes bytes in.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.decoder.feed(bytes);
     }
 
     /// Whether a message has begun that is not whole yet.
-    pub fn begun(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         self.decoder.begun()
     }
 
     /// The next thing said, or none until more bytes come.
-    pub fn next(
+    pub fn next_message(
         &mut self,
         now: Micros,
         names: &SettingNames,
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -8,7 +8,7 @@
 use amberspindle::platform::links::{ConnId, Links};
 use amberspindle::platform::parse_load_report;
 use amberspindle::platform::timings::Timings;
-use amberspindle::platform::viewer::{Viewer, ViewerMessage};
+use amberspindle::platform::viewer::{ViewerDecoder, ViewerMessage};
 use amberspindle::roster::SettingNames;
 use amberspindle::whip::Route;
 use proptest::collection::vec;
@@ -149,7 +149,7 @@
     let settings = amberspindle::api::Settings::new(vec![1.0], vec![1.0]);
     cases((garbage(), cuts()), |(bytes, cuts)| {
         let (mut packets, mut viewer, mut requests) =
-            (binary::Decoder::default(), Viewer::default(), server::Decoder::default());
+            (binary::Decoder::default(), ViewerDecoder::default(), server::Decoder::default());
         let (mut reader, mut events) = (client::Reader::default(), sse::Decoder::default());
         let (mut board, _) = Board::new(SettingNames::default(), &serde_json::Value::Null);
         board.request(Micros(0), "h");
@@ -160,7 +160,7 @@
                 assert!(packet.cause().is_none() || packet.value(binary::code::CAUSE).is_some());
             }
             viewer.feed(piece);
-            while let Ok(Some(said)) = viewer.next(Micros(5), &SettingNames::default(), &settings) {
+            while let Ok(Some(said)) = viewer.next_message(Micros(5), &SettingNames::default(), &settings) {
                 assert!(!matches!(said, ViewerMessage::SetUp(..)), "no class is known");
             }
             requests.feed(piece);
