--- a/src/net/board.rs
+++ b/src/net/board.rs
@@ -52,7 +52,8 @@
 /// Follows the board on one connection; gives why it ended.
 async fn follow_once(shared: &Handle, address: SocketAddr) -> io::Result<&'static str> {
     let connected =
-        within(micros(shared.timings.get().board_connect), Async::<TcpStream>::connect(address)).await?;
+        within(micros(shared.timings.get().board_connect_timeout), Async::<TcpStream>::connect(address))
+            .await?;
     let stream = Rc::new(connected);
     let request = shared.board.borrow_mut().request(shared.now(), &address.to_string());
     within(micros(board::SILENCE), (&*stream).write_all(&request)).await?;
--- a/src/net/conns.rs
+++ b/src/net/conns.rs
@@ -99,7 +99,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     // A client's answers are of use for as long as it waits.
                     let stalled = match towards {
-                        Towards::Client => micros(shared.timings.get().client_stalled),
+                        Towards::Client => micros(shared.timings.get().client_stall_timeout),
                         Towards::Server => STALLED,
                     };
                     match within(stalled, stream.writable()).await {
@@ -147,7 +147,7 @@
 
 pub(super) async fn dial(shared: Handle, conn: ConnId, address: SocketAddr, outbox: Rc<Outbox>) {
     let peer = format!("edge:{address}");
-    let timeout = micros(shared.timings.get().connect);
+    let timeout = micros(shared.timings.get().connect_timeout);
     let free = async { Ok(Linked::when_free(&shared).await) };
     let Ok(_linked) = within(timeout, free).await else {
         return ended(&shared, conn, &peer, "no-room", ConnectionEnd::Unopened);
--- a/src/node/leaving.rs
+++ b/src/node/leaving.rs
@@ -37,7 +37,7 @@
             whip.deserted(now, id, wishes);
         });
         let carried = self.links.carries(conn, id).or_else(|| self.pool.carries(conn, id)).cloned();
-        let most = self.timings.connect + STALE;
+        let most = self.timings.connect_timeout + STALE;
         let fresh =
             |server: &ServerId| self.broker.sent_at(id, server).is_some_and(|sent| now - sent <= most);
         if carried.as_ref().is_some_and(|server| fresh(server) && self.broker.accepts_new(server)) {
--- a/src/platform/links.rs
+++ b/src/platform/links.rs
@@ -142,13 +142,15 @@
     }
 
     fn usable(&self, now: Micros, server: &ServerId) -> Option<ConnId> {
-        let Timings { idle, idle_spare, .. } = self.timings;
+        let Timings { server_idle_timeout, idle_margin, .. } = self.timings;
         let good = |l: &Link| {
             l.server == *server
                 && !l.suspect
                 && !l.broken
                 && !l.left
-                && (!l.open || idle == Micros(0) || now - l.used.max(l.heard) + idle_spare < idle)
+                && (!l.open
+                    || server_idle_timeout == Micros(0)
+                    || now - l.used.max(l.heard) + idle_margin < server_idle_timeout)
         };
         self.links.iter().filter(|(_, l)| good(l)).max_by_key(|(id, l)| (l.open, **id)).map(|(id, _)| *id)
     }
--- a/src/platform/links/ends.rs
+++ b/src/platform/links/ends.rs
@@ -51,7 +51,7 @@
             ConnectionEnd::Refused if open => ServerStatus::Up,
             ConnectionEnd::Refused => ServerStatus::TurnsDown,
             // A machine that is cut off leaves its connections open and silent.
-            ConnectionEnd::NoAnswer if unheard <= self.timings.quiet => ServerStatus::Up,
+            ConnectionEnd::NoAnswer if unheard <= self.timings.note_timeout => ServerStatus::Up,
             ConnectionEnd::NoAnswer => ServerStatus::Lost,
             ConnectionEnd::Unopened => ServerStatus::Up,
             ConnectionEnd::Ended { .. } if open => ServerStatus::Up,
@@ -64,10 +64,11 @@
     /// no other's came lately either, a missing one says nothing of its server, and a hundred brokers that try all
     /// their servers at once are a burden.
     pub fn silent(&self, now: Micros, of: impl Iterator<Item = ServerId>) -> Vec<ServerId> {
-        let Timings { tell, quiet, silent_most, .. } = self.timings;
-        let most = if now - self.noted <= Micros(tell.0 / 2) { quiet } else { silent_most };
-        let quiet = |s: &ServerId| self.unheard(now, s) > most;
-        of.filter(quiet).collect()
+        let Timings { load_note_interval, note_timeout, max_silence, .. } = self.timings;
+        let most =
+            if now - self.noted <= Micros(load_note_interval.0 / 2) { note_timeout } else { max_silence };
+        let too_long = |s: &ServerId| self.unheard(now, s) > most;
+        of.filter(too_long).collect()
     }
 
     /// How long a server was not heard of.
--- a/src/platform/timings.rs
+++ b/src/platform/timings.rs
@@ -34,49 +34,50 @@
     /// The longest time that a viewer of any class waits for an answer.
     pub longest_deadline: Micros,
     /// How long a connection to an edge server may take to come up.
-    pub connect: Micros,
+    pub connect_timeout: Micros,
     /// How long a connection to the notice board may take to come up.
-    pub board_connect: Micros,
+    pub board_connect_timeout: Micros,
     /// Servers close connections that were idle for so long; zero: never.
-    pub idle: Micros,
+    pub server_idle_timeout: Micros,
     /// How long before that a connection carries nothing new any more.
-    pub idle_spare: Micros,
+    pub idle_margin: Micros,
     /// Time between a server's notes; zero: it writes none.
-    pub tell: Micros,
+    pub load_note_interval: Micros,
     /// A server that was silent for longer is checked while other servers' notes come.
-    pub quiet: Micros,
+    pub note_timeout: Micros,
     /// A server that was silent for longer is checked in any case.
-    pub silent_most: Micros,
+    pub max_silence: Micros,
     /// A client that takes nothing for so long while there is something to write is let go.
-    pub client_stalled: Micros,
+    pub client_stall_timeout: Micros,
     /// Requests that name a class that went are read for so long after a new configuration.
-    pub renamed: Micros,
+    pub old_names_accepted: Micros,
 }
 
 impl Timings {
     /// The limits that follow from settings, from the time after which servers close idle connections, and from how
     /// long a connection may take to come up.
-    pub fn new(settings: &Settings, idle: Micros, connect: Micros) -> Timings {
+    pub fn new(settings: &Settings, server_idle_timeout: Micros, connect_timeout: Micros) -> Timings {
         let longest_deadline = longest_deadline(settings);
         // A check takes up to `connect` until it is known to have no answer.
-        let latest = (END_TOLD_WITHIN - END_SPARE - connect).max(SILENT_LEAST);
+        let latest = (END_TOLD_WITHIN - END_SPARE - connect_timeout).max(SILENT_LEAST);
         let due = settings.load_note_interval + settings.note_delay + NOTES_SPARE;
         // Without notes silence says little, yet it is all that tells of a machine that vanished.
-        let silent_most = SILENT_MOST.max(due).min(latest);
-        let quiet = if settings.load_note_interval == Micros(0) { silent_most } else { due.min(latest) };
+        let max_silence = SILENT_MOST.max(due).min(latest);
+        let note_timeout =
+            if settings.load_note_interval == Micros(0) { max_silence } else { due.min(latest) };
         Timings {
             longest_deadline,
-            connect,
-            board_connect: board::CONNECT.max(connect).min(BOARD_CONNECT_MOST),
-            idle,
-            idle_spare: IDLE_SPARE.min(Micros(idle.0 / IDLE_SPARE_PART)),
-            tell: settings.load_note_interval,
-            quiet,
-            silent_most,
+            connect_timeout,
+            board_connect_timeout: board::CONNECT.max(connect_timeout).min(BOARD_CONNECT_MOST),
+            server_idle_timeout,
+            idle_margin: IDLE_SPARE.min(Micros(server_idle_timeout.0 / IDLE_SPARE_PART)),
+            load_note_interval: settings.load_note_interval,
+            note_timeout,
+            max_silence,
             // What waits there is of use for as long as any answer can be.
-            client_stalled: longest_deadline.max(STALLED_LEAST),
+            client_stall_timeout: longest_deadline.max(STALLED_LEAST),
             // Who asked under the old configuration has given up by then.
-            renamed: longest_deadline.max(RENAMED_LEAST),
+            old_names_accepted: longest_deadline.max(RENAMED_LEAST),
         }
     }
 }
--- a/src/platform/timings/tests.rs
+++ b/src/platform/timings/tests.rs
@@ -18,7 +18,11 @@
     for (deadlines, longest) in [(&[1_200][..], 2_000), (&[3_000, 5_000], 5_000), (&[1_200, 10_000], 10_000)]
     {
         let timings = Timings::new(&settings(deadlines, 3_000, 1_000), ms(30_000), ms(250));
-        assert_eq!((timings.client_stalled, timings.renamed), (ms(longest), ms(longest)), "{deadlines:?}");
+        assert_eq!(
+            (timings.client_stall_timeout, timings.old_names_accepted),
+            (ms(longest), ms(longest)),
+            "{deadlines:?}"
+        );
     }
 }
 
@@ -28,23 +32,23 @@
     for connect in [100, 250, 700, 1_000, 2_000] {
         for (tell, see) in [(0, 0), (2_000, 400), (3_000, 1_000), (5_000, 1_400), (9_000, 2_000)] {
             let timings = Timings::new(&settings(&[3_000], tell, see), ms(30_000), ms(connect));
-            let found = timings.quiet.max(timings.silent_most) + ms(connect) + ms(250);
+            let found = timings.note_timeout.max(timings.max_silence) + ms(connect) + ms(250);
             assert!(found < ms(8_000), "{connect} {tell} {see}: {found:?}");
-            assert!(timings.quiet <= timings.silent_most && timings.quiet >= ms(1_000));
+            assert!(timings.note_timeout <= timings.max_silence && timings.note_timeout >= ms(1_000));
         }
     }
     // Where notes leave time enough, they are waited for.
     let timings = Timings::new(&settings(&[3_000], 2_000, 400), ms(30_000), ms(250));
-    assert_eq!((timings.quiet, timings.silent_most), (ms(2_900), ms(6_000)));
+    assert_eq!((timings.note_timeout, timings.max_silence), (ms(2_900), ms(6_000)));
 }
 
 #[test]
 fn the_notice_board_may_take_as_long_as_an_edge_server_to_come_up() {
     for (connect, board) in [(100, 400), (250, 400), (700, 700), (2_000, 1_000)] {
         let timings = Timings::new(&settings(&[3_000], 3_000, 1_000), ms(30_000), ms(connect));
-        assert_eq!(timings.board_connect, ms(board));
+        assert_eq!(timings.board_connect_timeout, ms(board));
         // A board that fell silent speaks again before its events count as told, 4 s after it fell silent.
-        assert!(board::SILENCE + board::RETRY + timings.board_connect < ms(4_000));
+        assert!(board::SILENCE + board::RETRY + timings.board_connect_timeout < ms(4_000));
     }
 }
 
@@ -52,6 +56,6 @@
 fn idle_connections_are_used_for_most_of_the_time_that_servers_allow() {
     for (idle, spare) in [(2_500, 625), (6_000, 1_500), (30_000, 3_000), (120_000, 3_000)] {
         let timings = Timings::new(&settings(&[3_000], 3_000, 1_000), ms(idle), ms(250));
-        assert_eq!(timings.idle_spare, ms(spare));
+        assert_eq!(timings.idle_margin, ms(spare));
     }
 }
