--- a/src/node/leaving.rs
+++ b/src/node/leaving.rs
@@ -10,7 +10,7 @@
 
 /// How much longer than a connection may take to come up a set-up may wait before it is decided anew: its turn at a
 /// cold server, and what was known of the server's load, are over by then.
-const STALE: Micros = Micros(250_000);
+const SET_UP_WAIT_MARGIN: Micros = Micros(250_000);
 
 impl Node {
     /// The connections of those that a request is asked on. They are heard out before an attempt of it leaves.
@@ -37,7 +37,7 @@
             whip.deserted(now, id, wishes);
         });
         let carried = self.links.carries(conn, id).or_else(|| self.pool.carries(conn, id)).cloned();
-        let most = self.timings.connect_timeout + STALE;
+        let most = self.timings.connect_timeout + SET_UP_WAIT_MARGIN;
         let fresh =
             |server: &ServerId| self.broker.sent_at(id, server).is_some_and(|sent| now - sent <= most);
         if carried.as_ref().is_some_and(|server| fresh(server) && self.broker.accepts_new(server)) {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -33,11 +33,11 @@
 
 /// The part of the memory that sessions and their descriptions may take: the latter lie in the queues to servers
 /// once more, and the program and its buffers need the rest.
-const SESSIONS_PART: usize = 4;
+const SESSION_MEMORY_DIVISOR: usize = 4;
 /// Keeps the ids of the second front apart from the module's random numbers.
 const WHIP_SEED: u64 = 0x5748_4950;
 /// Time between looks at connections.
-const LOOK_EVERY: Micros = Micros(250_000);
+const INSPECTION_INTERVAL: Micros = Micros(250_000);
 
 /// What a connection that was accepted speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -109,7 +109,7 @@
         let timings = Timings::new(&config.settings, config.idle, config.connect_timeout);
         Node {
             broker: Broker::new(config.settings.clone(), config.seed)
-                .bounded(config.memory / SESSIONS_PART, config.settings.max_retry_after),
+                .bounded(config.memory / SESSION_MEMORY_DIVISOR, config.settings.max_retry_after),
             names: config.names.clone(),
             settings: config.settings.clone(),
             links: Links::new(timings),
@@ -227,7 +227,7 @@
         self.let_go(now, out);
         self.tell(now, Input::Tick, out);
         if now >= self.look_at {
-            self.look_at = now + LOOK_EVERY;
+            self.look_at = now + INSPECTION_INTERVAL;
             self.names.lately &= now < self.renamed_at + self.timings.old_names_accepted;
             self.owed.retain(|(until, _)| *until > now);
             self.look(now, out);
--- a/src/node/operate.rs
+++ b/src/node/operate.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeSet;
 
 use super::Node;
-use super::viewer_conn::{UNFINISHED, ViewerConn};
+use super::viewer_conn::{UNFINISHED_REASON, ViewerConn};
 use crate::api::{Micros, SessionId};
 use crate::operate::console::{Answer, BadCall, Call};
 use crate::operate::figures::Gauges;
 use crate::platform::links::{Command, ConnId};
 
 /// Time between looks at clients' connections while they are let go.
-const LET_GO_EVERY: Micros = Micros(25_000);
+const DRAIN_CHECK_INTERVAL: Micros = Micros(25_000);
 
 impl Node {
     /// Answers a call, or what is none.
@@ -107,7 +107,7 @@
         if now < self.let_go_at {
             return;
         }
-        self.let_go_at = now + LET_GO_EVERY;
+        self.let_go_at = now + DRAIN_CHECK_INTERVAL;
         let phase = self.phase;
         self.close_clients(out, |c| {
             let quiet = !c.closing && c.open.is_empty() && c.begun.is_none();
@@ -125,7 +125,7 @@
         for (conn, c) in self.viewers.iter_mut().filter(|(conn, _)| !homes.contains(conn)) {
             if let Some(reason) = why(c) {
                 c.closing = true;
-                out.push(if reason == UNFINISHED {
+                out.push(if reason == UNFINISHED_REASON {
                     Command::Close(*conn, reason)
                 } else {
                     Command::CloseIfQuiet(*conn, reason)
--- a/src/node/viewer_conn.rs
+++ b/src/node/viewer_conn.rs
@@ -7,13 +7,13 @@
 
 /// A viewer's connection that has said nothing whole for so long after it was accepted is closed, and one that
 /// leaves a message unfinished for so long: the platform's clients connect when they have something to ask.
-const SILENT: Micros = Micros(2_000_000);
+const SILENCE_TIMEOUT: Micros = Micros(2_000_000);
 /// A connection that no set-up waits on and no session was set up on is closed after so long. Clients let such a
 /// one go after 4 s themselves; one that asked for what has no answer is owed a close within 3 s.
-const IDLE: Micros = Micros(2_250_000);
+const IDLE_TIMEOUT: Micros = Micros(2_250_000);
 
 /// Why a connection ends on which a message was begun and not ended: what may still come of it keeps no connection.
-pub(super) const UNFINISHED: &str = "unfinished";
+pub(super) const UNFINISHED_REASON: &str = "unfinished";
 
 /// What is known of it.
 #[derive(Default)]
@@ -41,11 +41,11 @@
     pub(super) fn overdue(&self, now: Micros) -> Option<&'static str> {
         if self.closing || !self.open.is_empty() {
             None
-        } else if !self.spoke && now - self.used >= SILENT {
-            Some(if self.begun.is_some() { UNFINISHED } else { "silent" })
-        } else if self.begun.is_some_and(|at| now - at >= SILENT) {
-            Some(UNFINISHED)
-        } else if now - self.used >= IDLE {
+        } else if !self.spoke && now - self.used >= SILENCE_TIMEOUT {
+            Some(if self.begun.is_some() { UNFINISHED_REASON } else { "silent" })
+        } else if self.begun.is_some_and(|at| now - at >= SILENCE_TIMEOUT) {
+            Some(UNFINISHED_REASON)
+        } else if now - self.used >= IDLE_TIMEOUT {
             Some("idle")
         } else {
             None
--- a/src/node/viewers.rs
+++ b/src/node/viewers.rs
@@ -11,15 +11,15 @@
 
 /// How long a release waits for a connection that it could go out on: as long as a drain may take, in which clients
 /// have none here. Late is better than never, as its client goes by it that the session plays.
-const OWED_KEPT: Micros = Micros(60_000_000);
+const PENDING_END_LIFETIME: Micros = Micros(60_000_000);
 /// The part of the memory that they may take, and what each takes, roughly: as many may wait as sessions may be held,
 /// as all of them may end while their clients have no connection here.
-const OWED_PART: usize = 16;
-const OWED_BYTES: usize = 256;
+const PENDING_ENDS_MEMORY_DIVISOR: usize = 16;
+const PENDING_END_BYTES: usize = 256;
 
 /// How many releases may wait for a connection, where there is so much memory.
 pub(super) fn owed_most(memory: usize) -> usize {
-    memory / OWED_PART / OWED_BYTES
+    memory / PENDING_ENDS_MEMORY_DIVISOR / PENDING_END_BYTES
 }
 
 /// The final answer to a set-up.
@@ -203,7 +203,7 @@
         match home.filter(open).or_else(|| self.viewers.keys().rev().copied().find(open)) {
             Some(conn) => out.push(Command::WriteSessionEnd(conn, bytes)),
             None => {
-                self.owed.push_back((now + OWED_KEPT, bytes));
+                self.owed.push_back((now + PENDING_END_LIFETIME, bytes));
                 self.owed.drain(..self.owed.len().saturating_sub(self.owed_most));
             }
         }
--- a/src/platform/links/ends.rs
+++ b/src/platform/links/ends.rs
@@ -2,20 +2,20 @@
 
 use std::collections::BTreeSet;
 
-use super::withdrawal::APART;
+use super::withdrawal::ATTEMPT_GAP;
 use super::{Command, ConnId, ConnectionEnd, Links, LostConnection, ServerStatus};
 use crate::api::{Micros, ServerId, SessionId, Status};
 use crate::platform::timings::Timings;
 
 /// A message that stopped short for so long is not going on: servers write each in one piece.
-const UNFINISHED: Micros = Micros(400_000);
+const PARTIAL_MESSAGE_TIMEOUT: Micros = Micros(400_000);
 
 /// Time between checks of one server.
-const CHECK_EVERY: Micros = Micros(500_000);
+const CHECK_INTERVAL: Micros = Micros(500_000);
 
 /// A server that turns connections down and was not heard of for so long is lost, whatever the list says: the
 /// clients of what stood there must be told within 8 s.
-const LOST_SILENCE: Micros = Micros(7_000_000);
+const LOST_AFTER_SILENCE: Micros = Micros(7_000_000);
 
 impl Links {
     /// A connection has ended.
@@ -45,7 +45,7 @@
         let server_status = match how {
             // A server that drains turns new connections down while its sessions play on; only an older
             // connection that was reset, or a long silence, tells it from one that has died.
-            ConnectionEnd::Refused if self.reset.contains(&link.server) || unheard >= LOST_SILENCE => {
+            ConnectionEnd::Refused if self.reset.contains(&link.server) || unheard >= LOST_AFTER_SILENCE => {
                 ServerStatus::Lost
             }
             ConnectionEnd::Refused if open => ServerStatus::Up,
@@ -89,7 +89,7 @@
                 link.broken = true;
                 out.push(Command::Close(*conn, "gone"));
             }
-            if !link.broken && link.begun.is_some_and(|at| now - at >= UNFINISHED) {
+            if !link.broken && link.begun.is_some_and(|at| now - at >= PARTIAL_MESSAGE_TIMEOUT) {
                 link.broken = true;
                 out.push(Command::Abort(*conn, "unfinished"));
             }
@@ -99,7 +99,7 @@
         self.alive.retain(|s, _| known(s));
         self.checked.retain(|s, _| known(s));
         self.reset.retain(known);
-        self.ended.retain(|_, at| now - *at < APART);
+        self.ended.retain(|_, at| now - *at < ATTEMPT_GAP);
     }
 
     /// Servers that anything is remembered of.
@@ -111,7 +111,7 @@
     /// Opens one more connection, whose end tells whether the server is lost; false if it has no address left.
     pub fn check(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) -> bool {
         let dialling = self.links.values().any(|l| l.server == *server && !l.open);
-        let lately = self.checked.get(server).is_some_and(|at| now - *at < CHECK_EVERY);
+        let lately = self.checked.get(server).is_some_and(|at| now - *at < CHECK_INTERVAL);
         if dialling || lately {
             return true;
         }
--- a/src/platform/links/withdrawal.rs
+++ b/src/platform/links/withdrawal.rs
@@ -9,7 +9,7 @@
 
 /// Time between the written end of one attempt and the next of the same session elsewhere. They travel on different
 /// connections, whose ways differ by some milliseconds.
-pub(super) const APART: Micros = Micros(5_000);
+pub(super) const ATTEMPT_GAP: Micros = Micros(5_000);
 
 /// How far the end of an attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -74,7 +74,7 @@
         self.ended.insert(id, now);
         let waiting = self.links.values_mut().flat_map(|link| &mut link.queue);
         for queued in waiting.filter(|queued| queued.set_up == Some(id)) {
-            queued.after = queued.after.min(now + APART);
+            queued.after = queued.after.min(now + ATTEMPT_GAP);
         }
     }
 
@@ -83,7 +83,7 @@
         if self.withdrawals.contains_key(&id) {
             return Micros::MAX;
         }
-        self.ended.get(&id).map_or(Micros(0), |at| *at + APART)
+        self.ended.get(&id).map_or(Micros(0), |at| *at + ATTEMPT_GAP)
     }
 
     /// A connection is over, and with it each attempt that was given up on it.
--- a/src/platform/viewer.rs
+++ b/src/platform/viewer.rs
@@ -6,7 +6,7 @@
 use crate::roster::SettingNames;
 
 /// How far what is left of a viewer's time may lie above the deadline of its class: clocks and rounding differ.
-const LEFT_SPARE: Micros = Micros(1_000_000);
+const TIME_LEFT_MARGIN: Micros = Micros(1_000_000);
 
 /// What a viewer says.
 #[derive(Clone, Debug, PartialEq)]
@@ -107,7 +107,7 @@
     let alike =
         names.classes.iter().zip(&settings.classes).filter(|(name, _)| **name == names.classes[class]);
     let most = alike.map(|(_, class)| class.deadline).max()?;
-    if left == Micros(0) || left > most + LEFT_SPARE {
+    if left == Micros(0) || left > most + TIME_LEFT_MARGIN {
         return None;
     }
     request.due = now + left.min(most);
