--- a/src/node/connections.rs
+++ b/src/node/connections.rs
@@ -121,7 +121,7 @@
             self.pool.closed(now, conn, how, &mut told, out);
             return self.told(now, told, out);
         }
-        let Some(LostConnection { server, over, withdrawn, server_status }) =
+        let Some(LostConnection { server, ended_set_ups, withdrawn, server_status }) =
             self.links.closed(now, conn, how)
         else {
             return;
@@ -129,7 +129,7 @@
         for id in withdrawn {
             self.tell(now, Input::Withdrawn { id, server: server.clone() }, out);
         }
-        for (id, status) in over {
+        for (id, status) in ended_set_ups {
             let load = Load::default();
             self.tell(now, Input::Ended { id, server: server.clone(), status, load }, out);
         }
@@ -139,9 +139,11 @@
         let drains = self.servers.get(&server).is_some_and(|(state, _)| *state == ServerState::Draining);
         match server_status {
             ServerStatus::Up => {}
-            ServerStatus::Unsure => self.check(now, &server, out),
-            ServerStatus::TurnsDown if drains => {}
-            ServerStatus::TurnsDown | ServerStatus::Lost => self.tell(now, Input::ServerLost(server), out),
+            ServerStatus::Unsure => self.check_server(now, &server, out),
+            ServerStatus::RefusesConnections if drains => {}
+            ServerStatus::RefusesConnections | ServerStatus::Lost => {
+                self.tell(now, Input::ServerLost(server), out)
+            }
         }
     }
 }
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -7,7 +7,7 @@
 use crate::operate::handover::{
     Message, SessionTransfer, note_number, numbered_note, status_word, worded_status,
 };
-use crate::platform::links::{Command, ServerMessage, status};
+use crate::platform::links::{Command, ServerMessage, release_status};
 
 impl Node {
     /// This process asks another, or nobody, whether it may serve.
@@ -130,8 +130,8 @@
     pub fn has_waiting_clients(&self) -> bool {
         self.broker.unanswered() > 0
             || !self.viewers.is_empty()
-            || self.links.waiting()
-            || self.passed.values().any(|server| self.drains(server) && self.links.reaches(server))
+            || self.links.has_queued_writes()
+            || self.passed.values().any(|server| self.drains(server) && self.links.is_connected_to(server))
             || self.whip.as_ref().is_some_and(|whip| !whip.idle())
     }
 
@@ -158,7 +158,7 @@
         let Some(server) = self.passed.get(&id).map(|server| server.0.to_string()) else { return false };
         let message = match heard {
             ServerMessage::Release(id, cause, _) => {
-                let how = status_word(status(*cause, true)).to_owned();
+                let how = status_word(release_status(*cause, true)).to_owned();
                 Message::Over { id: id.0, server, how }
             }
             ServerMessage::Note(id, note) => {
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -6,7 +6,7 @@
 use crate::api::*;
 use crate::broker::{Input, SetUp};
 use crate::edge::PoolEvent;
-use crate::platform::links::{Command, ServerMessage, Withdrawal, status};
+use crate::platform::links::{Command, ServerMessage, Withdrawal, release_status};
 use crate::roster::ListUpdate;
 
 impl Node {
@@ -23,12 +23,12 @@
         // Those that speak WHIP or WHEP have no connection of their own to be heard on.
         let spoken = self.servers.keys().filter(|s| !self.pool.serves(s));
         let busy: Vec<ServerId> = spoken.filter(|s| self.broker.has_established_at(s)).cloned().collect();
-        let connected = self.links.connected();
-        for server in self.links.silent(now, busy.iter().cloned()) {
-            self.check(now, &server, out);
+        let connected = self.links.connected_servers();
+        for server in self.links.silent_servers(now, busy.iter().cloned()) {
+            self.check_server(now, &server, out);
         }
         for server in busy.into_iter().filter(|s| !connected.contains(s)) {
-            self.check(now, &server, out);
+            self.check_server(now, &server, out);
         }
     }
 
@@ -39,9 +39,9 @@
     }
 
     /// Finds out by one more connection whether a server is lost.
-    pub(super) fn check(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) {
+    pub(super) fn check_server(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) {
         let before = out.len();
-        let there = self.links.check(now, server, out);
+        let there = self.links.check_server(now, server, out);
         self.dialled(now, server, "check", &out[before..]);
         if !there {
             self.tell(now, Input::ServerLost(server.clone()), out);
@@ -151,7 +151,7 @@
         let input = match heard {
             ServerMessage::Answer(id, answer) => Input::Established { id, server, answer },
             ServerMessage::Release(id, cause, load) => {
-                let status = status(cause, self.broker.is_established_at(id, &server));
+                let status = release_status(cause, self.broker.is_established_at(id, &server));
                 Input::Ended { id, server, status, load }
             }
             ServerMessage::Note(id, note) => Input::Note { id, server, note },
--- a/src/platform/links.rs
+++ b/src/platform/links.rs
@@ -25,27 +25,27 @@
 pub struct Links {
     addresses: BTreeMap<ServerId, SocketAddr>,
     /// The same the other way round: no two servers are at one address.
-    at: BTreeMap<SocketAddr, ServerId>,
+    server_at: BTreeMap<SocketAddr, ServerId>,
     links: BTreeMap<ConnId, Link>,
     /// When a server was last heard of, or found to accept a connection.
-    alive: BTreeMap<ServerId, Micros>,
+    last_alive: BTreeMap<ServerId, Micros>,
     /// Servers that reset a connection and have accepted none since.
-    reset: BTreeSet<ServerId>,
+    reset_servers: BTreeSet<ServerId>,
     /// When a server was last checked.
-    checked: BTreeMap<ServerId, Micros>,
+    last_checked: BTreeMap<ServerId, Micros>,
     /// Sessions whose last attempt ended just now, and when.
-    ended: BTreeMap<SessionId, Micros>,
+    attempt_ended_at: BTreeMap<SessionId, Micros>,
     /// Attempts that were given up and whose end is not written yet, with their connections.
     withdrawals: BTreeMap<SessionId, ConnId>,
-    next: u64,
+    last_conn_id: u64,
     timings: Timings,
     /// When the last note on a link's load came, of any server.
-    noted: Micros,
+    last_link_note: Micros,
 }
 
 /// What a set-up's or a session's release tells.
-pub fn status(cause: u8, stands: bool) -> Status {
-    match (stands, cause) {
+pub fn release_status(cause: u8, is_established: bool) -> Status {
+    match (is_established, cause) {
         (true, cause::NORMAL) => Status::Completed,
         (true, cause::CANCELLED) => Status::Cancelled,
         (false, cause::FULL) => Status::Saturated,
@@ -58,12 +58,25 @@
 impl Links {
     /// No connections yet.
     pub fn new(timings: Timings) -> Links {
-        let (addresses, at) = (BTreeMap::new(), BTreeMap::new());
-        let (links, alive) = (BTreeMap::new(), BTreeMap::new());
-        let (reset, checked, ended) = (BTreeSet::new(), BTreeMap::new(), BTreeMap::new());
+        let (addresses, server_at) = (BTreeMap::new(), BTreeMap::new());
+        let (links, last_alive) = (BTreeMap::new(), BTreeMap::new());
+        let (reset_servers, last_checked, attempt_ended_at) =
+            (BTreeSet::new(), BTreeMap::new(), BTreeMap::new());
         let withdrawals = BTreeMap::new();
-        let (next, noted) = (0, Micros(0));
-        Links { addresses, at, links, alive, reset, checked, ended, withdrawals, next, timings, noted }
+        let (last_conn_id, last_link_note) = (0, Micros(0));
+        Links {
+            addresses,
+            server_at,
+            links,
+            last_alive,
+            reset_servers,
+            last_checked,
+            attempt_ended_at,
+            withdrawals,
+            last_conn_id,
+            timings,
+            last_link_note,
+        }
     }
 
     /// Notes where a server listens. Gives the server that had the address before, which is lost: a new server
@@ -86,17 +99,17 @@
         }
         let mut lost = Vec::new();
         if let Some(old) = self.addresses.insert(server.clone(), address) {
-            self.at.remove(&old);
+            self.server_at.remove(&old);
             lost.push(server.clone());
-            self.alive.remove(server);
-            self.reset.remove(server);
-            self.checked.remove(server);
-            for (conn, link) in self.links.iter_mut().filter(|(_, l)| l.server == *server && !l.broken) {
-                link.broken = true;
+            self.last_alive.remove(server);
+            self.reset_servers.remove(server);
+            self.last_checked.remove(server);
+            for (conn, link) in self.links.iter_mut().filter(|(_, l)| l.server == *server && !l.is_broken) {
+                link.is_broken = true;
                 out.push(Command::Abort(*conn, "moved"));
             }
         }
-        if let Some(before) = self.at.insert(address, server.clone()) {
+        if let Some(before) = self.server_at.insert(address, server.clone()) {
             self.addresses.remove(&before);
             lost.push(before);
         }
@@ -106,7 +119,7 @@
     /// A server has left the list.
     pub fn forget(&mut self, server: &ServerId) {
         if let Some(address) = self.addresses.remove(server) {
-            self.at.remove(&address);
+            self.server_at.remove(&address);
         }
     }
 
@@ -137,28 +150,32 @@
 
     /// Numbers for connections of other fronts come from here too.
     pub fn allocate_conn_id(&mut self) -> ConnId {
-        self.next += 1;
-        ConnId(self.next)
+        self.last_conn_id += 1;
+        ConnId(self.last_conn_id)
     }
 
-    fn usable(&self, now: Micros, server: &ServerId) -> Option<ConnId> {
+    fn usable_link(&self, now: Micros, server: &ServerId) -> Option<ConnId> {
         let Timings { server_idle_timeout, idle_margin, .. } = self.timings;
-        let good = |l: &Link| {
+        let is_usable = |l: &Link| {
             l.server == *server
-                && !l.suspect
-                && !l.broken
-                && !l.left
-                && (!l.open
+                && !l.is_suspect
+                && !l.is_broken
+                && !l.is_retired
+                && (!l.is_open
                     || server_idle_timeout == Micros(0)
-                    || now - l.used.max(l.heard) + idle_margin < server_idle_timeout)
+                    || now - l.last_used.max(l.last_received) + idle_margin < server_idle_timeout)
         };
-        self.links.iter().filter(|(_, l)| good(l)).max_by_key(|(id, l)| (l.open, **id)).map(|(id, _)| *id)
+        self.links
+            .iter()
+            .filter(|(_, l)| is_usable(l))
+            .max_by_key(|(id, l)| (l.is_open, **id))
+            .map(|(id, _)| *id)
     }
 
     fn dial(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) -> Option<ConnId> {
         let address = *self.addresses.get(server)?;
         let conn = self.allocate_conn_id();
-        let link = Link { server: server.clone(), heard: now, used: now, ..Link::default() };
+        let link = Link { server: server.clone(), last_received: now, last_used: now, ..Link::default() };
         self.links.insert(conn, link);
         out.push(Command::Dial(conn, address));
         Some(conn)
@@ -166,7 +183,7 @@
 
     /// Opens a connection where none is, so that a server's notes and releases have a way.
     pub fn ensure_connected(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) {
-        if self.usable(now, server).is_none() {
+        if self.usable_link(now, server).is_none() {
             self.dial(now, server, out);
         }
     }
@@ -179,7 +196,7 @@
         out: &mut Vec<Command>,
     ) {
         if self.addresses.contains_key(server) {
-            self.alive.entry(server.clone()).or_insert(now);
+            self.last_alive.entry(server.clone()).or_insert(now);
         }
         self.ensure_connected(now, server, out);
     }
@@ -192,20 +209,20 @@
     /// A connection has come up.
     pub fn opened(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
         let Some(link) = self.links.get_mut(&conn) else { return };
-        (link.open, link.heard) = (true, now);
+        (link.is_open, link.last_received) = (true, now);
         // It leads to where the server was before: that it came up says nothing of the server now.
-        if link.broken {
+        if link.is_broken {
             return;
         }
         link.write_due(now, conn, out);
         let server = link.server.clone();
-        self.alive.insert(server.clone(), now);
-        self.reset.remove(&server);
+        self.last_alive.insert(server.clone(), now);
+        self.reset_servers.remove(&server);
         // The ones before it said nothing for too long, or are about to be closed. A release may be on its way on
         // them and would not be written again: they are read to their end.
         for (id, old) in self.links.iter_mut().filter(|(id, l)| **id != conn && l.server == server) {
-            if old.up() && old.set_ups.is_empty() {
-                old.left = true;
+            if old.is_up() && old.set_ups.is_empty() {
+                old.is_retired = true;
                 out.push(Command::LingeringClose(*id, "replaced"));
             }
         }
@@ -220,22 +237,22 @@
         bytes: &[u8],
         out: &mut Vec<Command>,
     ) -> (ServerId, Vec<ServerMessage>) {
-        let mut heard = Vec::new();
-        let Some(link) = self.links.get_mut(&conn).filter(|l| !l.broken) else {
-            return (ServerId::default(), heard);
+        let mut messages = Vec::new();
+        let Some(link) = self.links.get_mut(&conn).filter(|l| !l.is_broken) else {
+            return (ServerId::default(), messages);
         };
-        (link.heard, link.suspect) = (now, false);
-        self.alive.insert(link.server.clone(), now);
+        (link.last_received, link.is_suspect) = (now, false);
+        self.last_alive.insert(link.server.clone(), now);
         link.decoder.feed(bytes);
-        if let Err(error) = link.read(&mut heard) {
-            link.broken = true;
+        if let Err(error) = link.read_messages(&mut messages) {
+            link.is_broken = true;
             out.push(Command::Abort(conn, error.code()));
         }
-        if heard.iter().any(|heard| matches!(heard, ServerMessage::Note(_, Note::Link(_)))) {
-            self.noted = now;
+        if messages.iter().any(|message| matches!(message, ServerMessage::Note(_, Note::Link(_)))) {
+            self.last_link_note = now;
         }
-        link.begun = if link.decoder.begun() { link.begun.or(Some(now)) } else { None };
-        (link.server.clone(), heard)
+        link.partial_since = if link.decoder.begun() { link.partial_since.or(Some(now)) } else { None };
+        (link.server.clone(), messages)
     }
 }
 
--- a/src/platform/links/ends.rs
+++ b/src/platform/links/ends.rs
@@ -32,95 +32,100 @@
             // Some of it may have reached the server: that proves nothing.
             ConnectionEnd::Ended { .. } => (id, Status::Reset),
         };
-        let over: Vec<(SessionId, Status)> = link.set_ups.keys().copied().map(ended).collect();
-        let ran = over.iter().filter(|(_, status)| *status == Status::Reset);
+        let ended_set_ups: Vec<(SessionId, Status)> = link.set_ups.keys().copied().map(ended).collect();
+        let ran = ended_set_ups.iter().filter(|(_, status)| *status == Status::Reset);
         ran.for_each(|(id, _)| self.attempt_ended(now, *id));
-        let withdrawn = self.withdrawn_with(now, conn);
-        let open = self.links.values().any(|l| l.server == link.server && l.up());
-        let unheard = self.unheard(now, &link.server);
+        let withdrawn = self.end_withdrawals_on(now, conn);
+        let has_open_link = self.links.values().any(|l| l.server == link.server && l.is_up());
+        let silence = self.silence(now, &link.server);
         // A server that has nothing to say may answer the end of a connection that was left with a reset.
-        if !link.left && matches!(how, ConnectionEnd::Ended { reset: true, .. }) {
-            self.reset.insert(link.server.clone());
+        if !link.is_retired && matches!(how, ConnectionEnd::Ended { reset: true, .. }) {
+            self.reset_servers.insert(link.server.clone());
         }
         let server_status = match how {
             // A server that drains turns new connections down while its sessions play on; only an older
             // connection that was reset, or a long silence, tells it from one that has died.
-            ConnectionEnd::Refused if self.reset.contains(&link.server) || unheard >= LOST_AFTER_SILENCE => {
+            ConnectionEnd::Refused
+                if self.reset_servers.contains(&link.server) || silence >= LOST_AFTER_SILENCE =>
+            {
                 ServerStatus::Lost
             }
-            ConnectionEnd::Refused if open => ServerStatus::Up,
-            ConnectionEnd::Refused => ServerStatus::TurnsDown,
+            ConnectionEnd::Refused if has_open_link => ServerStatus::Up,
+            ConnectionEnd::Refused => ServerStatus::RefusesConnections,
             // A machine that is cut off leaves its connections open and silent.
-            ConnectionEnd::NoAnswer if unheard <= self.timings.note_timeout => ServerStatus::Up,
+            ConnectionEnd::NoAnswer if silence <= self.timings.note_timeout => ServerStatus::Up,
             ConnectionEnd::NoAnswer => ServerStatus::Lost,
             ConnectionEnd::Unopened => ServerStatus::Up,
-            ConnectionEnd::Ended { .. } if open => ServerStatus::Up,
+            ConnectionEnd::Ended { .. } if has_open_link => ServerStatus::Up,
             ConnectionEnd::Ended { .. } => ServerStatus::Unsure,
         };
-        Some(LostConnection { server: link.server, over, withdrawn, server_status })
+        Some(LostConnection { server: link.server, ended_set_ups, withdrawn, server_status })
     }
 
     /// Servers, of those given, that have been silent for too long. All write their notes at the same time: where
     /// no other's came lately either, a missing one says nothing of its server, and a hundred brokers that try all
     /// their servers at once are a burden.
-    pub fn silent(&self, now: Micros, of: impl Iterator<Item = ServerId>) -> Vec<ServerId> {
+    pub fn silent_servers(&self, now: Micros, of: impl Iterator<Item = ServerId>) -> Vec<ServerId> {
         let Timings { load_note_interval, note_timeout, max_silence, .. } = self.timings;
-        let most =
-            if now - self.noted <= Micros(load_note_interval.0 / 2) { note_timeout } else { max_silence };
-        let too_long = |s: &ServerId| self.unheard(now, s) > most;
+        let longest = if now - self.last_link_note <= Micros(load_note_interval.0 / 2) {
+            note_timeout
+        } else {
+            max_silence
+        };
+        let too_long = |s: &ServerId| self.silence(now, s) > longest;
         of.filter(too_long).collect()
     }
 
     /// How long a server was not heard of.
-    pub fn unheard(&self, now: Micros, server: &ServerId) -> Micros {
-        self.alive.get(server).map_or(Micros::MAX, |at| now - *at)
+    pub fn silence(&self, now: Micros, server: &ServerId) -> Micros {
+        self.last_alive.get(server).map_or(Micros::MAX, |at| now - *at)
     }
 
     /// Servers that connections are open to.
-    pub fn connected(&self) -> BTreeSet<ServerId> {
-        self.links.values().filter(|l| l.up()).map(|l| l.server.clone()).collect()
+    pub fn connected_servers(&self) -> BTreeSet<ServerId> {
+        self.links.values().filter(|l| l.is_up()).map(|l| l.server.clone()).collect()
     }
 
     /// Ends connections on which a message stopped short, as what is behind it would never be heard, and those to
     /// servers that are gone; forgets what was known of these.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Command>) {
         for (conn, link) in &mut self.links {
-            if !link.broken && link.set_ups.is_empty() && !self.addresses.contains_key(&link.server) {
-                link.broken = true;
+            if !link.is_broken && link.set_ups.is_empty() && !self.addresses.contains_key(&link.server) {
+                link.is_broken = true;
                 out.push(Command::Close(*conn, "gone"));
             }
-            if !link.broken && link.begun.is_some_and(|at| now - at >= PARTIAL_MESSAGE_TIMEOUT) {
-                link.broken = true;
+            if !link.is_broken && link.partial_since.is_some_and(|at| now - at >= PARTIAL_MESSAGE_TIMEOUT) {
+                link.is_broken = true;
                 out.push(Command::Abort(*conn, "unfinished"));
             }
         }
         let (addresses, links) = (&self.addresses, &self.links);
         let known = |s: &ServerId| addresses.contains_key(s) || links.values().any(|l| l.server == *s);
-        self.alive.retain(|s, _| known(s));
-        self.checked.retain(|s, _| known(s));
-        self.reset.retain(known);
-        self.ended.retain(|_, at| now - *at < ATTEMPT_GAP);
+        self.last_alive.retain(|s, _| known(s));
+        self.last_checked.retain(|s, _| known(s));
+        self.reset_servers.retain(known);
+        self.attempt_ended_at.retain(|_, at| now - *at < ATTEMPT_GAP);
     }
 
     /// Servers that anything is remembered of.
     pub fn tracked_entries(&self) -> usize {
-        let listed = self.addresses.keys().chain(self.alive.keys()).chain(self.checked.keys());
-        listed.chain(&self.reset).collect::<BTreeSet<_>>().len()
+        let listed = self.addresses.keys().chain(self.last_alive.keys()).chain(self.last_checked.keys());
+        listed.chain(&self.reset_servers).collect::<BTreeSet<_>>().len()
     }
 
     /// Opens one more connection, whose end tells whether the server is lost; false if it has no address left.
-    pub fn check(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) -> bool {
-        let dialling = self.links.values().any(|l| l.server == *server && !l.open);
-        let lately = self.checked.get(server).is_some_and(|at| now - *at < CHECK_INTERVAL);
-        if dialling || lately {
+    pub fn check_server(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) -> bool {
+        let dialling = self.links.values().any(|l| l.server == *server && !l.is_open);
+        let checked_lately = self.last_checked.get(server).is_some_and(|at| now - *at < CHECK_INTERVAL);
+        if dialling || checked_lately {
             return true;
         }
-        self.checked.insert(server.clone(), now);
+        self.last_checked.insert(server.clone(), now);
         self.dial(now, server, out).is_some()
     }
 
     /// Whether a connection to a server is up.
-    pub fn reaches(&self, server: &ServerId) -> bool {
-        self.links.values().any(|l| l.server == *server && l.up())
+    pub fn is_connected_to(&self, server: &ServerId) -> bool {
+        self.links.values().any(|l| l.server == *server && l.is_up())
     }
 }
--- a/src/platform/links/tests.rs
+++ b/src/platform/links/tests.rs
@@ -12,12 +12,12 @@
     links.ensure_connected(start, &server, &mut out);
     let Some(Command::Dial(conn, _)) = out.first() else { panic!("{out:?}") };
     links.opened(start, *conn, &mut Vec::new());
-    let silent = |links: &Links, now| links.silent(now, [server.clone()].into_iter());
+    let silent = |links: &Links, now| links.silent_servers(now, [server.clone()].into_iter());
     assert!(silent(&links, start + second).is_empty());
     let late = start + Micros(7 * second.0);
     assert_eq!(silent(&links, late), std::slice::from_ref(&server));
     out.clear();
-    assert!(links.check(late, &server, &mut out));
+    assert!(links.check_server(late, &server, &mut out));
     let Some(Command::Dial(tried, _)) = out.first() else { panic!("{out:?}") };
     let broken = links.closed(late + Micros(250_000), *tried, &ConnectionEnd::NoAnswer).unwrap();
     assert_eq!(broken.server_status, ServerStatus::Lost);
--- a/src/platform/links/withdrawal.rs
+++ b/src/platform/links/withdrawal.rs
@@ -38,20 +38,20 @@
             return Withdrawal::Done;
         }
         // Not a byte since: a fresh connection shall tell whether the server can be reached at all.
-        if written.is_some_and(|at| link.heard < at) {
-            link.suspect = true;
+        if written.is_some_and(|at| link.last_received < at) {
+            link.is_suspect = true;
         }
         // On the set-up's own connection, behind it: anywhere else it could come later than the next attempt
         // elsewhere, and two would be out at once.
         let Ok(bytes) = Builder::new(Kind::Release, id).cause(cause::NORMAL).finish() else {
             return Withdrawal::Done;
         };
-        link.used = now;
+        link.last_used = now;
         self.withdrawals.insert(id, *conn);
         out.push(Command::Withdraw(*conn, id, bytes));
         if mutant::on(Mutant::QueuedIsWritten) {
             self.withdrawals.remove(&id);
-            self.ended.insert(id, now);
+            self.attempt_ended_at.insert(id, now);
             return Withdrawal::Done;
         }
         Withdrawal::Pending
@@ -71,23 +71,23 @@
 
     /// An attempt is over: the next one of its session may leave a little later.
     pub(super) fn attempt_ended(&mut self, now: Micros, id: SessionId) {
-        self.ended.insert(id, now);
+        self.attempt_ended_at.insert(id, now);
         let waiting = self.links.values_mut().flat_map(|link| &mut link.queue);
         for queued in waiting.filter(|queued| queued.set_up == Some(id)) {
-            queued.after = queued.after.min(now + ATTEMPT_GAP);
+            queued.not_before = queued.not_before.min(now + ATTEMPT_GAP);
         }
     }
 
     /// From when on a set-up of a session may leave.
-    pub(super) fn may_leave_from(&self, id: SessionId) -> Micros {
+    pub(super) fn earliest_send(&self, id: SessionId) -> Micros {
         if self.withdrawals.contains_key(&id) {
             return Micros::MAX;
         }
-        self.ended.get(&id).map_or(Micros(0), |at| *at + ATTEMPT_GAP)
+        self.attempt_ended_at.get(&id).map_or(Micros(0), |at| *at + ATTEMPT_GAP)
     }
 
     /// A connection is over, and with it each attempt that was given up on it.
-    pub(super) fn withdrawn_with(&mut self, now: Micros, conn: ConnId) -> Vec<SessionId> {
+    pub(super) fn end_withdrawals_on(&mut self, now: Micros, conn: ConnId) -> Vec<SessionId> {
         let of_conn = self.withdrawals.iter().filter(|(_, on)| **on == conn);
         let ids: Vec<SessionId> = of_conn.map(|(id, _)| *id).collect();
         for id in &ids {
@@ -98,7 +98,7 @@
     }
 
     /// Attempts whose end is not written yet.
-    pub fn withdrawing(&self) -> usize {
+    pub fn pending_withdrawals(&self) -> usize {
         self.withdrawals.len()
     }
 }
--- a/src/platform/links/words.rs
+++ b/src/platform/links/words.rs
@@ -66,7 +66,7 @@
     /// Its server.
     pub server: ServerId,
     /// How each set-up that was open on it ended.
-    pub over: Vec<(SessionId, Status)>,
+    pub ended_set_ups: Vec<(SessionId, Status)>,
     /// Set-ups that had been given up on it and whose end was not written.
     pub withdrawn: Vec<SessionId>,
     /// What it tells of the server and all that stands there.
@@ -81,7 +81,7 @@
     /// It may be lost: no other connection is up.
     Unsure,
     /// It turns new connections down and no old one is left: lost, unless it drains.
-    TurnsDown,
+    RefusesConnections,
     /// It is lost.
     Lost,
 }
--- a/src/platform/links/writing.rs
+++ b/src/platform/links/writing.rs
@@ -16,19 +16,19 @@
         set_up: Option<SessionId>,
         out: &mut Vec<Command>,
     ) -> bool {
-        let Some(conn) = self.usable(now, server).or_else(|| self.dial(now, server, out)) else {
+        let Some(conn) = self.usable_link(now, server).or_else(|| self.dial(now, server, out)) else {
             return false;
         };
-        let after = set_up.map_or(Micros(0), |id| self.may_leave_from(id));
+        let not_before = set_up.map_or(Micros(0), |id| self.earliest_send(id));
         let Some(link) = self.links.get_mut(&conn) else { return false };
-        link.used = now;
+        link.last_used = now;
         if let Some(id) = set_up {
             link.set_ups.insert(id, now);
         }
-        if link.open && after <= now {
+        if link.is_open && not_before <= now {
             out.push(Command::Write(conn, bytes, set_up));
         } else {
-            link.queue.push(Queued { set_up, bytes, after });
+            link.queue.push(Queued { set_up, bytes, not_before });
         }
         true
     }
@@ -68,19 +68,20 @@
     /// Descriptors are short: the connection goes that was used the longest ago, of those that nothing is set up on
     /// and that lead to a server that is not `busy`.
     pub fn close_idle(&mut self, busy: impl Fn(&ServerId) -> bool, out: &mut Vec<Command>) {
-        let idle =
-            |l: &Link| l.up() && !l.broken && l.set_ups.is_empty() && l.queue.is_empty() && !busy(&l.server);
-        let spare = self.links.iter_mut().filter(|(_, l)| idle(l)).min_by_key(|(_, l)| l.used);
+        let idle = |l: &Link| {
+            l.is_up() && !l.is_broken && l.set_ups.is_empty() && l.queue.is_empty() && !busy(&l.server)
+        };
+        let spare = self.links.iter_mut().filter(|(_, l)| idle(l)).min_by_key(|(_, l)| l.last_used);
         if let Some((conn, link)) = spare {
-            link.left = true;
+            link.is_retired = true;
             out.push(Command::Close(*conn, "no-room"));
         }
     }
 
     /// When [`Links::write_due`] is wanted next.
     pub fn next_due(&self) -> Option<Micros> {
-        let open = self.links.values().filter(|l| l.open && !l.broken);
-        open.flat_map(|l| &l.queue).map(|queued| queued.after).min()
+        let open = self.links.values().filter(|l| l.is_open && !l.is_broken);
+        open.flat_map(|l| &l.queue).map(|queued| queued.not_before).min()
     }
 
     /// Writes what has waited for its time.
@@ -96,7 +97,7 @@
     }
 
     /// Whether anything waits for a connection, or for its time.
-    pub fn waiting(&self) -> bool {
+    pub fn has_queued_writes(&self) -> bool {
         self.links.values().any(|l| !l.queue.is_empty())
     }
 
