--- a/src/node/viewers.rs
+++ b/src/node/viewers.rs
@@ -58,18 +58,18 @@
                 }
                 self.ask(now, request, description.into_bytes().into(), out);
             }
-            ViewerMessage::Unfit(id, _) if self.broker.knows(id) => self.taken(now, conn, id, out),
-            ViewerMessage::Unfit(id, class) => {
+            ViewerMessage::Invalid(id, _) if self.broker.knows(id) => self.taken(now, conn, id, out),
+            ViewerMessage::Invalid(id, class) => {
                 if let Some(class) = class {
                     self.figures.asked(id, named(&self.names.classes, class));
                     self.figures.answered(id, Outcome::Faulted);
                 }
                 self.say(now, Some(conn), &viewer::failed(id), out);
             }
-            ViewerMessage::Playing(request, _) if self.phase.closed() => {
+            ViewerMessage::ExistingSession(request, _) if self.phase.closed() => {
                 self.carry_out(now, Effect::Ended(request.id, Status::Reset), out);
             }
-            ViewerMessage::Playing(request, server) => {
+            ViewerMessage::ExistingSession(request, server) => {
                 self.homes.entry(request.id).or_insert(conn);
                 self.tell(now, Input::ExistingSession(request, server.clone()), out);
                 let before = out.len();
--- a/src/platform/viewer.rs
+++ b/src/platform/viewer.rs
@@ -14,9 +14,9 @@
     /// It asks for a session, with a description.
     SetUp(Request, String),
     /// It names a session that plays at a server already.
-    Playing(Request, ServerId),
+    ExistingSession(Request, ServerId),
     /// It asks for what the settings rule out, so that no server could use it; with the class, if that is known.
-    Unfit(SessionId, Option<usize>),
+    Invalid(SessionId, Option<usize>),
     /// It gives a set-up up, or ends its session.
     Release(SessionId),
     /// It tests the broker.
@@ -53,7 +53,7 @@
                     let id = line.id;
                     let class = line.fields.get("class").and_then(|c| names.class(c));
                     return Ok(Some(
-                        set_up(line, now, names, settings).unwrap_or(ViewerMessage::Unfit(id, class)),
+                        set_up(line, now, names, settings).unwrap_or(ViewerMessage::Invalid(id, class)),
                     ));
                 }
                 Kind::Release => return Ok(Some(ViewerMessage::Release(line.id))),
@@ -98,7 +98,7 @@
     request.hint = field("hint").and_then(number).filter(|h| *h > 0.0);
     if let Some(server) = at {
         request.copies = copies.unwrap_or(0);
-        return Some(ViewerMessage::Playing(request, server));
+        return Some(ViewerMessage::ExistingSession(request, server));
     }
     request.copies = copies?;
     // A viewer waits as long as its class does, give or take what the way cost.
