--- a/src/node/connections.rs
+++ b/src/node/connections.rs
@@ -22,7 +22,7 @@
             }
             return;
         }
-        self.viewers.insert(conn, ViewerConn { used: now, ..ViewerConn::default() });
+        self.viewers.insert(conn, ViewerConn { last_used: now, ..ViewerConn::default() });
     }
 
     /// A connection to a server has come up.
@@ -49,21 +49,26 @@
             self.whip(now, out, |whip, sure, wishes| whip.bytes(now, conn, bytes, sure, wishes));
             return;
         }
-        let Some(c) = self.viewers.get_mut(&conn).filter(|c| !c.closing && !c.repeats) else { return };
+        let Some(c) = self.viewers.get_mut(&conn).filter(|c| !c.is_closing && !c.has_reused_id) else {
+            return;
+        };
         c.decoder.feed(bytes);
         loop {
-            let Some(c) = self.viewers.get_mut(&conn).filter(|c| !c.closing && !c.repeats) else { return };
+            let Some(c) = self.viewers.get_mut(&conn).filter(|c| !c.is_closing && !c.has_reused_id) else {
+                return;
+            };
             match c.decoder.next_message(now, &self.names, &self.settings) {
                 Ok(Some(said)) => {
-                    (c.used, c.begun, c.spoke) = (now, None, true);
+                    (c.last_used, c.partial_since, c.has_spoken) = (now, None, true);
                     self.said(now, conn, said, out);
                 }
                 Ok(None) => {
-                    c.begun = if c.decoder.has_partial_message() { c.begun.or(Some(now)) } else { None };
+                    c.partial_since =
+                        if c.decoder.has_partial_message() { c.partial_since.or(Some(now)) } else { None };
                     return self.let_all_go(out);
                 }
                 Err(error) => {
-                    c.closing = true;
+                    c.is_closing = true;
                     return out.push(Command::Close(conn, error.code()));
                 }
             }
@@ -74,13 +79,13 @@
     /// anything, else one that no session was set up on, else the one that has been idle the longest.
     pub fn make_room(&mut self, now: Micros, out: &mut Vec<Command>) {
         let homes: BTreeSet<ConnId> = self.homes.values().copied().collect();
-        let idle = self.viewers.iter().filter(|(_, c)| !c.closing && c.open.is_empty());
-        let viewer = idle.map(|(conn, c)| ((c.spoke, homes.contains(conn), c.used), *conn)).min();
+        let idle = self.viewers.iter().filter(|(_, c)| !c.is_closing && c.unanswered.is_empty());
+        let viewer = idle.map(|(conn, c)| ((c.has_spoken, homes.contains(conn), c.last_used), *conn)).min();
         let http = self.whip.as_ref().and_then(|whip| whip.longest_idle());
         match (viewer, http) {
             (Some(((spoke, _, used), conn)), http) if http.is_none_or(|(of, _)| (spoke, used) <= of) => {
                 if let Some(c) = self.viewers.get_mut(&conn) {
-                    c.closing = true;
+                    c.is_closing = true;
                 }
                 out.push(Command::CloseIfQuiet(conn, "no-room"));
             }
@@ -107,7 +112,7 @@
         if let Some(c) = self.viewers.remove(&conn) {
             self.homes.retain(|_, home| *home != conn);
             // Nobody waits there any more, and an answer that was not written whole was heard by nobody.
-            for id in c.open.iter().chain(unfinished) {
+            for id in c.unanswered.iter().chain(unfinished) {
                 self.tell(now, Input::ClientLeft(*id), out);
             }
             return;
--- a/src/node/ending.rs
+++ b/src/node/ending.rs
@@ -63,7 +63,7 @@
 
     /// Requests that a connection takes with it if it ends now: those of its client, or set-ups that are out on it.
     pub fn unanswered_on(&self, conn: ConnId) -> usize {
-        let of_client = self.viewers.get(&conn).map(|client| client.open.len());
+        let of_client = self.viewers.get(&conn).map(|client| client.unanswered.len());
         of_client.unwrap_or_else(|| self.links.set_ups_on(conn))
     }
 
--- a/src/node/operate.rs
+++ b/src/node/operate.rs
@@ -96,8 +96,8 @@
         if !self.phase.closed() || self.broker.established() > 0 {
             return;
         }
-        for (conn, c) in self.viewers.iter_mut().filter(|(_, c)| !c.closing && c.open.is_empty()) {
-            c.closing = true;
+        for (conn, c) in self.viewers.iter_mut().filter(|(_, c)| !c.is_closing && c.unanswered.is_empty()) {
+            c.is_closing = true;
             out.push(Command::CloseIfQuiet(*conn, "stopping"));
         }
     }
@@ -110,8 +110,8 @@
         self.let_go_at = now + DRAIN_CHECK_INTERVAL;
         let phase = self.phase;
         self.close_clients(out, |c| {
-            let quiet = !c.closing && c.open.is_empty() && c.begun.is_none();
-            (quiet && phase.lets_go(now, c.used, c.spoke)).then_some("draining")
+            let quiet = !c.is_closing && c.unanswered.is_empty() && c.partial_since.is_none();
+            (quiet && phase.lets_go(now, c.last_used, c.has_spoken)).then_some("draining")
         });
     }
 
@@ -124,7 +124,7 @@
         let homes: BTreeSet<ConnId> = self.homes.values().copied().collect();
         for (conn, c) in self.viewers.iter_mut().filter(|(conn, _)| !homes.contains(conn)) {
             if let Some(reason) = why(c) {
-                c.closing = true;
+                c.is_closing = true;
                 out.push(if reason == UNFINISHED_REASON {
                     Command::Close(*conn, reason)
                 } else {
--- a/src/node/viewer_conn.rs
+++ b/src/node/viewer_conn.rs
@@ -20,32 +20,32 @@
 pub(super) struct ViewerConn {
     pub(super) decoder: ViewerDecoder,
     /// Set-ups of this connection that are owed an answer.
-    pub(super) open: BTreeSet<SessionId>,
+    pub(super) unanswered: BTreeSet<SessionId>,
     /// When it last said something whole, or was answered.
-    pub(super) used: Micros,
+    pub(super) last_used: Micros,
     /// When the message began that is not whole yet.
-    pub(super) begun: Option<Micros>,
+    pub(super) partial_since: Option<Micros>,
     /// It has said something whole.
-    pub(super) spoke: bool,
+    pub(super) has_spoken: bool,
     /// It has said more than tests: it is a viewer's.
-    pub(super) asked: bool,
+    pub(super) is_viewer: bool,
     /// It has used the id of a session that is held already: it ends once all it waits for is answered, as an
     /// answer of its own to the second set-up could be taken for that of the first.
-    pub(super) repeats: bool,
+    pub(super) has_reused_id: bool,
     /// It is being closed: what it still says is not heard.
-    pub(super) closing: bool,
+    pub(super) is_closing: bool,
 }
 
 impl ViewerConn {
     /// Why it is to be closed, if it is.
     pub(super) fn overdue(&self, now: Micros) -> Option<&'static str> {
-        if self.closing || !self.open.is_empty() {
+        if self.is_closing || !self.unanswered.is_empty() {
             None
-        } else if !self.spoke && now - self.used >= SILENCE_TIMEOUT {
-            Some(if self.begun.is_some() { UNFINISHED_REASON } else { "silent" })
-        } else if self.begun.is_some_and(|at| now - at >= SILENCE_TIMEOUT) {
+        } else if !self.has_spoken && now - self.last_used >= SILENCE_TIMEOUT {
+            Some(if self.partial_since.is_some() { UNFINISHED_REASON } else { "silent" })
+        } else if self.partial_since.is_some_and(|at| now - at >= SILENCE_TIMEOUT) {
             Some(UNFINISHED_REASON)
-        } else if now - self.used >= IDLE_TIMEOUT {
+        } else if now - self.last_used >= IDLE_TIMEOUT {
             Some("idle")
         } else {
             None
--- a/src/node/viewers.rs
+++ b/src/node/viewers.rs
@@ -54,7 +54,7 @@
                 }
                 self.homes.insert(id, conn);
                 if let Some(c) = self.viewers.get_mut(&conn) {
-                    c.open.insert(id);
+                    c.unanswered.insert(id);
                 }
                 self.ask(now, request, description.into_bytes().into(), out);
             }
@@ -82,7 +82,7 @@
     /// A connection that was to be let go stays: its client has said something.
     pub fn keep_open(&mut self, now: Micros, conn: ConnId) {
         if let Some(c) = self.viewers.get_mut(&conn) {
-            (c.closing, c.used) = (false, now);
+            (c.is_closing, c.last_used) = (false, now);
         }
         if let Some(whip) = &mut self.whip {
             whip.keep_open(now, conn);
@@ -93,7 +93,7 @@
     /// sessions (seen on a day with a drain, when the front's tests were the only connections).
     fn pay_owed(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
         if let Some(c) = self.viewers.get_mut(&conn) {
-            c.asked = true;
+            c.is_viewer = true;
         }
         for (until, bytes) in std::mem::take(&mut self.owed) {
             if until > now {
@@ -107,8 +107,8 @@
     pub(super) fn taken(&mut self, now: Micros, conn: ConnId, id: SessionId, out: &mut Vec<Command>) {
         let own = self.homes.get(&id) == Some(&conn);
         let Some(c) = self.viewers.get_mut(&conn) else { return };
-        if own || c.open.is_empty() {
-            c.repeats = true;
+        if own || c.unanswered.is_empty() {
+            c.has_reused_id = true;
             self.close_if_repeats(conn, out);
         } else {
             self.say(now, Some(conn), &viewer::failed(id), out);
@@ -143,9 +143,12 @@
     }
 
     pub(super) fn close_if_repeats(&mut self, conn: ConnId, out: &mut Vec<Command>) {
-        if let Some(c) = self.viewers.get_mut(&conn).filter(|c| c.repeats && !c.closing && c.open.is_empty())
+        if let Some(c) = self
+            .viewers
+            .get_mut(&conn)
+            .filter(|c| c.has_reused_id && !c.is_closing && c.unanswered.is_empty())
         {
-            c.closing = true;
+            c.is_closing = true;
             out.push(Command::Close(conn, "id-in-use"));
         }
     }
@@ -154,8 +157,8 @@
     pub(super) fn answered(&mut self, now: Micros, id: SessionId) -> Option<ConnId> {
         let home = self.homes.get(&id).copied();
         if let Some(c) = home.and_then(|home| self.viewers.get_mut(&home)) {
-            c.open.remove(&id);
-            c.used = now;
+            c.unanswered.remove(&id);
+            c.last_used = now;
         }
         home
     }
@@ -164,7 +167,7 @@
         if let Some(home) = self.homes.remove(&id)
             && let Some(c) = self.viewers.get_mut(&home)
         {
-            c.open.remove(&id);
+            c.unanswered.remove(&id);
         }
     }
 
@@ -199,7 +202,7 @@
 
     fn tell_end(&mut self, now: Micros, home: Option<ConnId>, bytes: Vec<u8>, out: &mut Vec<Command>) {
         // What is written behind the end of a connection reaches nobody.
-        let open = |conn: &ConnId| self.viewers.get(conn).is_some_and(|c| !c.closing && c.asked);
+        let open = |conn: &ConnId| self.viewers.get(conn).is_some_and(|c| !c.is_closing && c.is_viewer);
         match home.filter(open).or_else(|| self.viewers.keys().rev().copied().find(open)) {
             Some(conn) => out.push(Command::WriteSessionEnd(conn, bytes)),
             None => {
