--- a/src/node/connections.rs
+++ b/src/node/connections.rs
@@ -34,19 +34,21 @@
     /// Bytes came on a connection.
     pub fn bytes(&mut self, now: Micros, conn: ConnId, bytes: &[u8], out: &mut Vec<Command>) {
         if self.links.has(conn) {
-            let (server, heard) = self.links.bytes(now, conn, bytes, out);
-            for heard in heard {
-                self.heard(now, &server, heard, out);
+            let (server, messages) = self.links.bytes(now, conn, bytes, out);
+            for message in messages {
+                self.handle_server_message(now, &server, message, out);
             }
             return;
         }
         if self.pool.has(conn) {
-            let mut told = Vec::new();
-            self.pool.bytes(now, conn, bytes, &mut told, out);
-            return self.told(now, told, out);
+            let mut events = Vec::new();
+            self.pool.bytes(now, conn, bytes, &mut events, out);
+            return self.handle_pool_events(now, events, out);
         }
         if self.whip.as_ref().is_some_and(|whip| whip.has(conn)) {
-            self.whip(now, out, |whip, sure, wishes| whip.bytes(now, conn, bytes, sure, wishes));
+            self.with_whip(now, out, |whip, nothing_ran, actions| {
+                whip.bytes(now, conn, bytes, nothing_ran, actions)
+            });
             return;
         }
         let Some(c) = self.viewers.get_mut(&conn).filter(|c| !c.is_closing && !c.has_reused_id) else {
@@ -58,14 +60,14 @@
                 return;
             };
             match c.decoder.next_message(now, &self.names, &self.settings) {
-                Ok(Some(said)) => {
+                Ok(Some(message)) => {
                     (c.last_used, c.partial_since, c.has_spoken) = (now, None, true);
-                    self.said(now, conn, said, out);
+                    self.handle_viewer_message(now, conn, message, out);
                 }
                 Ok(None) => {
                     c.partial_since =
                         if c.decoder.has_partial_message() { c.partial_since.or(Some(now)) } else { None };
-                    return self.let_all_go(out);
+                    return self.close_clients_when_stopping(out);
                 }
                 Err(error) => {
                     c.is_closing = true;
@@ -78,9 +80,10 @@
     /// Descriptors are short: of the clients' connections that no set-up waits on the one goes that never said
     /// anything, else one that no session was set up on, else the one that has been idle the longest.
     pub fn make_room(&mut self, now: Micros, out: &mut Vec<Command>) {
-        let homes: BTreeSet<ConnId> = self.homes.values().copied().collect();
+        let with_session: BTreeSet<ConnId> = self.session_conns.values().copied().collect();
         let idle = self.viewers.iter().filter(|(_, c)| !c.is_closing && c.unanswered.is_empty());
-        let viewer = idle.map(|(conn, c)| ((c.has_spoken, homes.contains(conn), c.last_used), *conn)).min();
+        let viewer =
+            idle.map(|(conn, c)| ((c.has_spoken, with_session.contains(conn), c.last_used), *conn)).min();
         let http = self.whip.as_ref().and_then(|whip| whip.longest_idle());
         match (viewer, http) {
             (Some(((spoke, _, used), conn)), http) if http.is_none_or(|(of, _)| (spoke, used) <= of) => {
@@ -90,7 +93,7 @@
                 out.push(Command::CloseIfQuiet(conn, "no-room"));
             }
             (_, Some((_, conn))) => {
-                self.whip(now, out, |whip, _, wishes| whip.let_go(conn, wishes));
+                self.with_whip(now, out, |whip, _, actions| whip.let_go(conn, actions));
             }
             (_, None) => {}
         }
@@ -99,7 +102,7 @@
     /// The end of an attempt that was given up is written on its connection, or the attempt never left.
     pub fn withdrawn(&mut self, now: Micros, conn: ConnId, id: SessionId, out: &mut Vec<Command>) {
         if let Some(server) = self.links.withdrawn(now, conn, id) {
-            self.tell(now, Input::Withdrawn { id, server }, out);
+            self.handle_input(now, Input::Withdrawn { id, server }, out);
         }
     }
 
@@ -110,21 +113,21 @@
             ConnectionEnd::Refused | ConnectionEnd::NoAnswer | ConnectionEnd::Unopened => &[],
         };
         if let Some(c) = self.viewers.remove(&conn) {
-            self.homes.retain(|_, home| *home != conn);
+            self.session_conns.retain(|_, client_conn| *client_conn != conn);
             // Nobody waits there any more, and an answer that was not written whole was heard by nobody.
             for id in c.unanswered.iter().chain(unfinished) {
-                self.tell(now, Input::ClientLeft(*id), out);
+                self.handle_input(now, Input::ClientLeft(*id), out);
             }
             return;
         }
         if self.whip.as_ref().is_some_and(|whip| whip.has(conn)) {
-            self.whip(now, out, |whip, _, wishes| whip.closed(now, conn, unfinished, wishes));
+            self.with_whip(now, out, |whip, _, actions| whip.closed(now, conn, unfinished, actions));
             return;
         }
         if self.pool.has(conn) {
-            let mut told = Vec::new();
-            self.pool.closed(now, conn, how, &mut told, out);
-            return self.told(now, told, out);
+            let mut events = Vec::new();
+            self.pool.closed(now, conn, how, &mut events, out);
+            return self.handle_pool_events(now, events, out);
         }
         let Some(LostConnection { server, ended_set_ups, withdrawn, server_status }) =
             self.links.closed(now, conn, how)
@@ -132,22 +135,22 @@
             return;
         };
         for id in withdrawn {
-            self.tell(now, Input::Withdrawn { id, server: server.clone() }, out);
+            self.handle_input(now, Input::Withdrawn { id, server: server.clone() }, out);
         }
         for (id, status) in ended_set_ups {
             let load = Load::default();
-            self.tell(now, Input::Ended { id, server: server.clone(), status, load }, out);
+            self.handle_input(now, Input::Ended { id, server: server.clone(), status, load }, out);
         }
         if !self.broker.has_established_at(&server) {
             return;
         }
-        let drains = self.servers.get(&server).is_some_and(|(state, _)| *state == ServerState::Draining);
+        let is_draining = self.servers.get(&server).is_some_and(|(state, _)| *state == ServerState::Draining);
         match server_status {
             ServerStatus::Up => {}
             ServerStatus::Unsure => self.check_server(now, &server, out),
-            ServerStatus::RefusesConnections if drains => {}
+            ServerStatus::RefusesConnections if is_draining => {}
             ServerStatus::RefusesConnections | ServerStatus::Lost => {
-                self.tell(now, Input::ServerLost(server), out)
+                self.handle_input(now, Input::ServerLost(server), out)
             }
         }
     }
--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -1,7 +1,7 @@
 //! What goes to the core, and what it decides, carried out.
 
-use super::viewers::Reply;
-use super::{Node, named};
+use super::viewers::FinalAnswer;
+use super::{Node, name_at};
 use crate::api::*;
 use crate::broker::{Description, Effect, Input};
 use crate::hook::{Decision, HookError};
@@ -11,43 +11,43 @@
 
 impl Node {
     /// A request goes to the core, unless the operator's script refuses it.
-    pub(super) fn ask(
+    pub(super) fn submit_request(
         &mut self,
         now: Micros,
         mut request: Request,
         offer: Description,
         out: &mut Vec<Command>,
     ) {
-        self.figures.asked(request.id, named(&self.names.classes, request.class));
+        self.metrics.asked(request.id, name_at(&self.names.classes, request.class));
         if let Some(tracer) = &mut self.tracer {
             let most = self.settings.classes.get(request.class).map_or(Rung(0), |class| class.top);
-            let class = (named(&self.names.classes, request.class), most);
-            tracer.asked(now, &request, class, named(&self.names.tenants, request.tenant));
+            let class = (name_at(&self.names.classes, request.class), most);
+            tracer.asked(now, &request, class, name_at(&self.names.tenants, request.tenant));
         }
         if self.phase.turns_away(now) {
             // Nothing of it was sent on, and this process ends or drains: another one takes it.
-            return self.carry_out(now, Effect::Refused(request.id, Micros(0)), out);
+            return self.apply_effect(now, Effect::Refused(request.id, Micros(0)), out);
         }
-        if let Err(wait) = self.let_through(now, &request) {
-            return self.carry_out(now, Effect::Refused(request.id, wait), out);
+        if let Err(wait) = self.check_rate_limit(now, &request) {
+            return self.apply_effect(now, Effect::Refused(request.id, wait), out);
         }
         if let Some(hook) = &mut self.hook {
             let (class, tenant) =
-                (named(&self.names.classes, request.class), named(&self.names.tenants, request.tenant));
-            let verdict = hook.on_request(&request, class, tenant);
-            match self.unhook(verdict) {
+                (name_at(&self.names.classes, request.class), name_at(&self.names.tenants, request.tenant));
+            let decision = hook.on_request(&request, class, tenant);
+            match self.disable_failed_hook(decision) {
                 Some(Decision::Refuse(wait)) => {
-                    return self.carry_out(now, Effect::Refused(request.id, wait), out);
+                    return self.apply_effect(now, Effect::Refused(request.id, wait), out);
                 }
                 Some(Decision::Pass(top)) => request.top = top,
                 None => {}
             }
         }
-        self.tell(now, Input::Request(request, offer), out);
+        self.handle_input(now, Input::Request(request, offer), out);
     }
 
     /// An error of the script is logged, and the broker goes on without it.
-    pub(super) fn unhook<T>(&mut self, result: Result<T, HookError>) -> Option<T> {
+    pub(super) fn disable_failed_hook<T>(&mut self, result: Result<T, HookError>) -> Option<T> {
         match result {
             Ok(value) => Some(value),
             Err(error) => {
@@ -58,7 +58,7 @@
         }
     }
 
-    pub(super) fn observed(&mut self, effect: &Effect) {
+    pub(super) fn report_outcome(&mut self, effect: &Effect) {
         let Some(hook) = &mut self.hook else { return };
         let (id, outcome) = match effect {
             Effect::Established(id, _) => (*id, "plays"),
@@ -68,13 +68,13 @@
             Effect::Moved(id) => (*id, "moved"),
             _ => return,
         };
-        let told = hook.on_outcome(id, outcome);
-        self.unhook(told);
+        let result = hook.on_outcome(id, outcome);
+        self.disable_failed_hook(result);
     }
 
-    pub(super) fn tell(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
+    pub(super) fn handle_input(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
         if let Input::ClientLeft(id) = &input {
-            self.figures.left(*id);
+            self.metrics.left(*id);
         }
         if let Some(tracer) = &mut self.tracer {
             tracer.told(now, &input);
@@ -82,47 +82,53 @@
         let mut effects = Vec::new();
         self.broker.handle(now, input, &mut effects);
         for effect in effects {
-            self.carry_out(now, effect, out);
+            self.apply_effect(now, effect, out);
         }
     }
 
-    pub(super) fn carry_out(&mut self, now: Micros, effect: Effect, out: &mut Vec<Command>) {
-        self.observed(&effect);
+    pub(super) fn apply_effect(&mut self, now: Micros, effect: Effect, out: &mut Vec<Command>) {
+        self.report_outcome(&effect);
         if let Some(tracer) = &mut self.tracer {
             tracer.decided(now, &effect);
         }
         match &effect {
             Effect::Refused(id, _) => {
                 self.refusals += 1;
-                self.figures.answered(*id, Outcome::Throttled);
+                self.metrics.answered(*id, Outcome::Throttled);
             }
-            Effect::Failed(id, _) => self.figures.answered(*id, Outcome::Faulted),
+            Effect::Failed(id, _) => self.metrics.answered(*id, Outcome::Faulted),
             Effect::SetUp(_) => self.attempts += 1,
             _ => {}
         }
         match effect {
-            Effect::Established(id, answer) if self.owned_by_whip(id) => {
-                self.figures.answered(id, Outcome::Fulfilled);
+            Effect::Established(id, answer) if self.is_whip_session(id) => {
+                self.metrics.answered(id, Outcome::Fulfilled);
                 let ice = self.pool.ice(id).to_vec();
-                self.whip(now, out, |whip, _, wishes| whip.plays(now, id, answer, ice, wishes));
-                self.whip(now, out, |whip, sure, wishes| whip.read_on(now, sure, wishes));
+                self.with_whip(now, out, |whip, _, actions| whip.plays(now, id, answer, ice, actions));
+                self.with_whip(now, out, |whip, nothing_ran, actions| {
+                    whip.read_on(now, nothing_ran, actions)
+                });
             }
-            Effect::Refused(id, wait) if self.owned_by_whip(id) => {
-                self.whip(now, out, |whip, _, wishes| whip.refused(id, wait, wishes));
-                self.whip(now, out, |whip, sure, wishes| whip.read_on(now, sure, wishes));
+            Effect::Refused(id, wait) if self.is_whip_session(id) => {
+                self.with_whip(now, out, |whip, _, actions| whip.refused(id, wait, actions));
+                self.with_whip(now, out, |whip, nothing_ran, actions| {
+                    whip.read_on(now, nothing_ran, actions)
+                });
             }
-            Effect::Failed(id, why) if self.owned_by_whip(id) => {
-                self.whip(now, out, |whip, _, wishes| whip.failed(now, id, why, wishes));
-                self.whip(now, out, |whip, sure, wishes| whip.read_on(now, sure, wishes));
+            Effect::Failed(id, why) if self.is_whip_session(id) => {
+                self.with_whip(now, out, |whip, _, actions| whip.failed(now, id, why, actions));
+                self.with_whip(now, out, |whip, nothing_ran, actions| {
+                    whip.read_on(now, nothing_ran, actions)
+                });
             }
-            Effect::Ended(id, _) if self.owned_by_whip(id) => {
-                self.whip(now, out, |whip, _, wishes| whip.over(now, id, false, wishes));
+            Effect::Ended(id, _) if self.is_whip_session(id) => {
+                self.with_whip(now, out, |whip, _, actions| whip.over(now, id, false, actions));
             }
-            Effect::Moved(id) if self.owned_by_whip(id) => {
-                self.whip(now, out, |whip, _, wishes| whip.over(now, id, true, wishes));
+            Effect::Moved(id) if self.is_whip_session(id) => {
+                self.with_whip(now, out, |whip, _, actions| whip.over(now, id, true, actions));
             }
-            Effect::SetUp(set_up) => self.send(now, &set_up, out),
-            Effect::Withdraw(id, server) => self.give_up(now, id, server, out),
+            Effect::SetUp(set_up) => self.send_set_up(now, &set_up, out),
+            Effect::Withdraw(id, server) => self.give_up_attempt(now, id, server, out),
             Effect::Release(id, _) if self.pool.holds(id) => self.pool.release(now, id, out),
             Effect::Rate(id, server, rung) => {
                 if self.pool.holds(id) {
@@ -130,50 +136,68 @@
                 } else {
                     self.links.rate(now, id, &server, rung, out);
                 }
-                if self.owned_by_whip(id) {
-                    self.whip(now, out, |whip, _, wishes| whip.rated(id, rung, wishes));
+                if self.is_whip_session(id) {
+                    self.with_whip(now, out, |whip, _, actions| whip.rated(id, rung, actions));
                 }
             }
             Effect::Release(id, server) => self.links.release(now, id, &server, out),
             Effect::Established(id, description) => {
-                let home = self.answered(now, id);
+                let client_conn = self.settle_request(now, id);
                 let line = std::str::from_utf8(&description).ok().map(|text| viewer::answer(id, text));
                 match line.filter(|line| line.encode().is_ok()) {
                     Some(line) => {
-                        self.figures.answered(id, Outcome::Fulfilled);
-                        self.reply(now, home, id, &Reply::Plays(line), out);
+                        self.metrics.answered(id, Outcome::Fulfilled);
+                        self.send_final_answer(now, client_conn, id, &FinalAnswer::Established(line), out);
                         if self.phase.yielded() {
-                            self.pass(now, id, out);
+                            self.hand_over_session(now, id, out);
                         }
                     }
                     None => {
-                        self.figures.answered(id, Outcome::Faulted);
+                        self.metrics.answered(id, Outcome::Faulted);
                         // What can't be passed on unchanged is not passed on.
-                        self.reply(now, home, id, &Reply::Over(viewer::failed(id)), out);
-                        self.forget(id);
-                        self.tell(now, Input::ClientLeft(id), out);
+                        self.send_final_answer(
+                            now,
+                            client_conn,
+                            id,
+                            &FinalAnswer::NotServed(viewer::failed(id)),
+                            out,
+                        );
+                        self.forget_session(id);
+                        self.handle_input(now, Input::ClientLeft(id), out);
                     }
                 }
             }
             Effect::Refused(id, wait) => {
-                let home = self.answered(now, id);
-                self.forget(id);
-                self.reply(now, home, id, &Reply::Over(viewer::refused(id, wait)), out);
+                let client_conn = self.settle_request(now, id);
+                self.forget_session(id);
+                self.send_final_answer(
+                    now,
+                    client_conn,
+                    id,
+                    &FinalAnswer::NotServed(viewer::refused(id, wait)),
+                    out,
+                );
             }
             Effect::Failed(id, _) => {
-                let home = self.answered(now, id);
-                self.forget(id);
-                self.reply(now, home, id, &Reply::Over(viewer::failed(id)), out);
+                let client_conn = self.settle_request(now, id);
+                self.forget_session(id);
+                self.send_final_answer(
+                    now,
+                    client_conn,
+                    id,
+                    &FinalAnswer::NotServed(viewer::failed(id)),
+                    out,
+                );
             }
             Effect::Ended(id, status) => {
-                let home = self.homes.remove(&id);
+                let client_conn = self.session_conns.remove(&id);
                 if let Some(line) = viewer::ended(id, status) {
-                    self.say_anywhere(now, home, &line, out);
+                    self.send_session_end(now, client_conn, &line, out);
                 }
             }
             Effect::Moved(id) => {
-                let home = self.homes.remove(&id);
-                self.say_anywhere(now, home, &viewer::moved(id), out);
+                let client_conn = self.session_conns.remove(&id);
+                self.send_session_end(now, client_conn, &viewer::moved(id), out);
             }
             Effect::Log(text) => self.log.push(text),
         }
--- a/src/node/ending.rs
+++ b/src/node/ending.rs
@@ -36,14 +36,14 @@
 impl Node {
     /// The process ends: by then each request must have its answer.
     pub fn set_shutdown_deadline(&mut self, now: Micros, at: Micros, out: &mut Vec<Command>) {
-        self.tell(now, Input::ShutdownDeadline(at), out);
+        self.handle_input(now, Input::ShutdownDeadline(at), out);
     }
 
     /// From now on tests fail and no HTTP connection is kept, so that clients go elsewhere. Turns at cold servers are
     /// the next process's, which may have the same number and start at once.
     pub fn stop(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.phase.end();
-        self.tell(now, Input::WarmUpTurnsFrom(Micros::MAX), out);
+        self.handle_input(now, Input::WarmUpTurnsFrom(Micros::MAX), out);
         if let Some(whip) = &mut self.whip {
             whip.keep(false);
         }
@@ -51,8 +51,8 @@
 
     /// The program ends: nothing may be left standing that nobody holds.
     pub fn shut_down(&mut self, now: Micros, out: &mut Vec<Command>) {
-        self.tell(now, Input::Shutdown, out);
-        self.let_all_go(out);
+        self.handle_input(now, Input::Shutdown, out);
+        self.close_clients_when_stopping(out);
     }
 
     /// What is still waited for.
@@ -68,14 +68,14 @@
     }
 
     /// The requests whose answers may come last, so many at most.
-    pub fn last_due(&self, most: usize) -> Vec<UnansweredRequest> {
-        let held = |open: OpenRequest| UnansweredRequest {
-            class: super::named(&self.names.classes, open.class).to_owned(),
-            conn: self.homes.get(&open.id).copied(),
+    pub fn last_due(&self, limit: usize) -> Vec<UnansweredRequest> {
+        let unanswered = |open: OpenRequest| UnansweredRequest {
+            class: super::name_at(&self.names.classes, open.class).to_owned(),
+            conn: self.session_conns.get(&open.id).copied(),
             id: open.id,
             server: open.server,
             due: open.due,
         };
-        self.broker.last_due(most).into_iter().map(held).collect()
+        self.broker.last_due(limit).into_iter().map(unanswered).collect()
     }
 }
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -1,9 +1,9 @@
 //! The hand-over of a broker from one process to the next, at either of them: sessions that stand are passed, and
 //! what is heard of them where they no longer are.
 
-use super::{Node, named};
+use super::{Node, name_at};
 use crate::api::*;
-use crate::broker::{Effect as Done, Input};
+use crate::broker::{Effect, Input};
 use crate::operate::handover::{
     Message, SessionTransfer, note_number, numbered_note, status_word, worded_status,
 };
@@ -27,18 +27,18 @@
 
     /// It may take turns at cold servers that begin from now on.
     pub fn take_warm_up_turns(&mut self, now: Micros, out: &mut Vec<Command>) {
-        self.tell(now, Input::WarmUpTurnsFrom(now), out);
+        self.handle_input(now, Input::WarmUpTurnsFrom(now), out);
     }
 
     /// Another process serves from now on: no turn at cold servers is taken any more, what stands is passed, and
     /// clients' connections are let go.
     pub fn yield_to_successor(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.phase.yields();
-        self.let_go_at = now;
-        self.tell(now, Input::WarmUpTurnsFrom(Micros::MAX), out);
-        let standing: Vec<SessionId> = self.broker.established_ids();
-        for id in standing {
-            self.pass(now, id, out);
+        self.next_drain_check = now;
+        self.handle_input(now, Input::WarmUpTurnsFrom(Micros::MAX), out);
+        let established: Vec<SessionId> = self.broker.established_ids();
+        for id in established {
+            self.hand_over_session(now, id, out);
         }
     }
 
@@ -47,68 +47,72 @@
     /// are this process's, also if it was told to end: whoever comes next asks it at the meeting point first.
     pub fn resume_serving(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.phase.resumes();
-        self.let_go_at = self.phase.lets_go_from().unwrap_or(Micros::MAX);
-        self.passed.clear();
-        self.tell(now, Input::WarmUpTurnsFrom(now), out);
+        self.next_drain_check = self.phase.lets_go_from().unwrap_or(Micros::MAX);
+        self.handed_over.clear();
+        self.handle_input(now, Input::WarmUpTurnsFrom(now), out);
     }
 
     /// Passes a session that stands to the process that serves now.
-    pub(super) fn pass(&mut self, now: Micros, id: SessionId, out: &mut Vec<Command>) {
+    pub(super) fn hand_over_session(&mut self, now: Micros, id: SessionId, out: &mut Vec<Command>) {
         // Those of the HTTP front stay: their clients know an address of this process.
-        if self.owned_by_whip(id) {
+        if self.is_whip_session(id) {
             return;
         }
         let Some((request, server, rung)) = self.broker.established_session(id) else { return };
-        let class = named(&self.names.classes, request.class);
-        let tenant = named(&self.names.tenants, request.tenant);
-        let passed = SessionTransfer::new(&request, class, tenant, &server, rung);
-        self.messages.push(Message::Session(passed));
-        self.passed.insert(id, server);
-        self.forget(id);
-        self.tell(now, Input::HandedOver(id), out);
+        let class = name_at(&self.names.classes, request.class);
+        let tenant = name_at(&self.names.tenants, request.tenant);
+        let transfer = SessionTransfer::new(&request, class, tenant, &server, rung);
+        self.messages.push(Message::Session(transfer));
+        self.handed_over.insert(id, server);
+        self.forget_session(id);
+        self.handle_input(now, Input::HandedOver(id), out);
     }
 
     /// Takes a session that another process held.
-    pub fn adopt_session(&mut self, now: Micros, passed: &SessionTransfer, out: &mut Vec<Command>) {
-        let class = self.names.class(&passed.class);
-        let tenant = self.names.tenant(&passed.tenant).unwrap_or(0);
-        let (id, server) = (SessionId(passed.id), ServerId::new(&passed.server));
+    pub fn adopt_session(&mut self, now: Micros, transfer: &SessionTransfer, out: &mut Vec<Command>) {
+        let class = self.names.class(&transfer.class);
+        let tenant = self.names.tenant(&transfer.tenant).unwrap_or(0);
+        let (id, server) = (SessionId(transfer.id), ServerId::new(&transfer.server));
         let Some(class) = class else {
             // This process has no such class: its client hears that it is over, and comes again.
             self.links.release(now, id, &server, out);
-            return self.carry_out(now, Done::Ended(id, Status::Reset), out);
+            return self.apply_effect(now, Effect::Ended(id, Status::Reset), out);
         };
-        self.tell(now, Input::ExistingSession(passed.request(class, tenant), server.clone()), out);
-        if let Some(rung) = passed.rung {
-            self.tell(now, Input::Note { id, server: server.clone(), note: Note::Rung(Rung(rung)) }, out);
+        self.handle_input(now, Input::ExistingSession(transfer.request(class, tenant), server.clone()), out);
+        if let Some(rung) = transfer.rung {
+            self.handle_input(
+                now,
+                Input::Note { id, server: server.clone(), note: Note::Rung(Rung(rung)) },
+                out,
+            );
         }
         // The next version serves already: it goes on to that.
         if self.phase.yielded() {
-            return self.pass(now, id, out);
+            return self.hand_over_session(now, id, out);
         }
         let before = out.len();
         // A server that drains may turn new connections down though its sessions play.
         self.links.ensure_connected_after_handover(now, &server, out);
-        self.dialled(now, &server, "notes", &out[before..]);
+        self.trace_dials(now, &server, "notes", &out[before..]);
     }
 
     /// What the other process heard of a session that is here now.
     pub fn handle_forwarded(&mut self, now: Micros, message: &Message, out: &mut Vec<Command>) {
         if let Message::Over { id, .. } | Message::Noted { id, .. } = message
-            && self.passed.contains_key(&SessionId(*id))
+            && self.handed_over.contains_key(&SessionId(*id))
         {
-            return self.forward(message.clone());
+            return self.forward_message(message.clone());
         }
         match message {
             Message::Over { id, server, how } => {
                 let (server, status) = (ServerId::new(server), worded_status(how));
                 let load = Load::default();
-                self.tell(now, Input::Ended { id: SessionId(*id), server, status, load }, out);
+                self.handle_input(now, Input::Ended { id: SessionId(*id), server, status, load }, out);
             }
             Message::Noted { id, server, note, figure } => {
                 if let Some(note) = numbered_note(*note, *figure) {
                     let server = ServerId::new(server);
-                    self.tell(now, Input::Note { id: SessionId(*id), server, note }, out);
+                    self.handle_input(now, Input::Note { id: SessionId(*id), server, note }, out);
                 }
             }
             Message::Left { id } => self.client_left_at_peer(now, *id, out),
@@ -120,8 +124,8 @@
     pub fn client_left_at_peer(&mut self, now: Micros, id: u64, out: &mut Vec<Command>) {
         let id = SessionId(id);
         if self.broker.knows(id) {
-            self.forget(id);
-            self.tell(now, Input::ClientLeft(id), out);
+            self.forget_session(id);
+            self.handle_input(now, Input::ClientLeft(id), out);
         }
     }
 
@@ -131,11 +135,14 @@
         self.broker.unanswered() > 0
             || !self.viewers.is_empty()
             || self.links.has_queued_writes()
-            || self.passed.values().any(|server| self.drains(server) && self.links.is_connected_to(server))
+            || self
+                .handed_over
+                .values()
+                .any(|server| self.is_draining(server) && self.links.is_connected_to(server))
             || self.whip.as_ref().is_some_and(|whip| !whip.idle())
     }
 
-    fn drains(&self, server: &ServerId) -> bool {
+    fn is_draining(&self, server: &ServerId) -> bool {
         self.servers.get(server).is_some_and(|(state, _)| *state == ServerState::Draining)
     }
 
@@ -145,18 +152,18 @@
     }
 
     /// A client left a session that is not here: perhaps it is at the other process.
-    pub(super) fn stray(&mut self, id: SessionId) {
+    pub(super) fn forward_client_left(&mut self, id: SessionId) {
         self.messages.push(Message::Left { id: id.0 });
     }
 
     /// Whether what a server says concerns a session that was passed; it is passed too then.
-    pub(super) fn passes_on(&mut self, heard: &ServerMessage) -> bool {
-        let id = match heard {
+    pub(super) fn forward_if_handed_over(&mut self, said: &ServerMessage) -> bool {
+        let id = match said {
             ServerMessage::Release(id, ..) | ServerMessage::Note(id, _) => *id,
             ServerMessage::Answer(..) => return false,
         };
-        let Some(server) = self.passed.get(&id).map(|server| server.0.to_string()) else { return false };
-        let message = match heard {
+        let Some(server) = self.handed_over.get(&id).map(|server| server.0.to_string()) else { return false };
+        let message = match said {
             ServerMessage::Release(id, cause, _) => {
                 let how = status_word(release_status(*cause, true)).to_owned();
                 Message::Over { id: id.0, server, how }
@@ -167,14 +174,14 @@
             }
             ServerMessage::Answer(..) => return false,
         };
-        self.forward(message);
+        self.forward_message(message);
         true
     }
 
     /// Word of a session that was passed goes where it went.
-    fn forward(&mut self, message: Message) {
+    fn forward_message(&mut self, message: Message) {
         if let Message::Over { id, .. } = &message {
-            self.passed.remove(&SessionId(*id));
+            self.handed_over.remove(&SessionId(*id));
         }
         self.messages.push(message);
     }
--- a/src/node/http.rs
+++ b/src/node/http.rs
@@ -8,33 +8,37 @@
 
 impl Node {
     /// Lets the WHIP front do something, then does what it wishes.
-    pub(super) fn whip(
+    pub(super) fn with_whip(
         &mut self,
         now: Micros,
         out: &mut Vec<Command>,
         act: impl FnOnce(&mut whip::WhipFront, &dyn Fn(SessionId) -> bool, &mut Vec<FrontAction>),
     ) {
-        let mut wishes = Vec::new();
+        let mut actions = Vec::new();
         if let Some(whip) = &mut self.whip {
             let (broker, links, pool) = (&self.broker, &self.links, &self.pool);
-            act(whip, &|id| broker.has_no_attempt(id) || links.waits(id) || pool.waits(id), &mut wishes);
+            act(whip, &|id| broker.has_no_attempt(id) || links.waits(id) || pool.waits(id), &mut actions);
         }
-        for wish in wishes {
-            match wish {
-                FrontAction::Tell(Input::Request(request, offer)) => self.ask(now, request, offer, out),
-                FrontAction::Tell(input) => self.tell(now, input, out),
+        for action in actions {
+            match action {
+                FrontAction::Tell(Input::Request(request, offer)) => {
+                    self.submit_request(now, request, offer, out)
+                }
+                FrontAction::Tell(input) => self.handle_input(now, input, out),
                 FrontAction::Write(conn, pieces, tag) => {
                     out.extend(pieces.into_iter().map(|piece| Command::Write(conn, piece, tag)));
                 }
                 FrontAction::Close(conn, reason) => out.push(Command::Close(conn, reason)),
                 FrontAction::CloseIfQuiet(conn, reason) => out.push(Command::CloseIfQuiet(conn, reason)),
-                FrontAction::Patch { conn, id, any, body } => self.pass_patch(now, conn, id, any, &body, out),
+                FrontAction::Patch { conn, id, any, body } => {
+                    self.forward_patch(now, conn, id, any, &body, out)
+                }
             }
         }
     }
 
     /// A fragment of trickle ICE goes to the session's server, if that takes any.
-    pub(super) fn pass_patch(
+    pub(super) fn forward_patch(
         &mut self,
         now: Micros,
         conn: ConnId,
@@ -44,11 +48,11 @@
         out: &mut Vec<Command>,
     ) {
         if !self.pool.patch(now, conn, id, any, body, out) {
-            self.whip(now, out, |whip, _, wishes| whip.unpatchable(conn, id, wishes));
+            self.with_whip(now, out, |whip, _, actions| whip.unpatchable(conn, id, actions));
         }
     }
 
-    pub(super) fn owned_by_whip(&self, id: SessionId) -> bool {
+    pub(super) fn is_whip_session(&self, id: SessionId) -> bool {
         self.whip.as_ref().is_some_and(|whip| whip.owns(id))
     }
 }
--- a/src/node/leaving.rs
+++ b/src/node/leaving.rs
@@ -15,8 +15,8 @@
 impl Node {
     /// The connections of those that a request is asked on. They are heard out before an attempt of it leaves.
     pub fn requesting_connections(&self, id: SessionId) -> Vec<ConnId> {
-        match self.homes.get(&id) {
-            Some(home) => vec![*home],
+        match self.session_conns.get(&id) {
+            Some(client_conn) => vec![*client_conn],
             None => self.whip.iter().flat_map(|whip| whip.waiters(id)).collect(),
         }
     }
@@ -31,16 +31,16 @@
         out: &mut Vec<Command>,
     ) -> bool {
         // What is due by the clock comes first: an attempt whose time is over, a request whose client is gone.
-        self.tell(now, Input::Tick, out);
+        self.handle_input(now, Input::Tick, out);
         // A paid set-up that is out runs to its end though its client has gone; one that is not out never begins.
-        self.whip(now, out, |whip, _, wishes| {
-            whip.deserted(now, id, wishes);
+        self.with_whip(now, out, |whip, _, actions| {
+            whip.deserted(now, id, actions);
         });
-        let carried = self.links.carries(conn, id).or_else(|| self.pool.carries(conn, id)).cloned();
-        let most = self.timings.connect_timeout + SET_UP_WAIT_MARGIN;
-        let fresh =
-            |server: &ServerId| self.broker.sent_at(id, server).is_some_and(|sent| now - sent <= most);
-        if carried.as_ref().is_some_and(|server| fresh(server) && self.broker.accepts_new(server)) {
+        let target = self.links.carries(conn, id).or_else(|| self.pool.carries(conn, id)).cloned();
+        let max_wait = self.timings.connect_timeout + SET_UP_WAIT_MARGIN;
+        let is_fresh =
+            |server: &ServerId| self.broker.sent_at(id, server).is_some_and(|sent| now - sent <= max_wait);
+        if target.as_ref().is_some_and(|server| is_fresh(server) && self.broker.accepts_new(server)) {
             return true;
         }
         if self.pool.has(conn) {
@@ -49,9 +49,9 @@
             return false;
         }
         self.links.withdraw(conn, id, out);
-        let Some(server) = carried else { return false };
+        let Some(server) = target else { return false };
         let (status, load) = (Status::Moot, Load::default());
-        self.tell(now, Input::Ended { id, server, status, load }, out);
+        self.handle_input(now, Input::Ended { id, server, status, load }, out);
         false
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -70,22 +70,22 @@
     whip: Option<whip::WhipFront>,
     hook: Option<Hook>,
     /// The connection that a session was set up on.
-    homes: BTreeMap<SessionId, ConnId>,
+    session_conns: BTreeMap<SessionId, ConnId>,
     /// Lines that no connection was open for.
-    owed: VecDeque<(Micros, Vec<u8>)>,
-    owed_most: usize,
+    pending_ends: VecDeque<(Micros, Vec<u8>)>,
+    max_pending_ends: usize,
     /// What the list says of the servers, and when they started last.
     servers: BTreeMap<ServerId, (ServerState, Option<Micros>)>,
-    look_at: Micros,
+    next_inspection: Micros,
     /// Whether it serves, drains or ends, and when clients' connections are looked at for that.
     phase: Phase,
-    let_go_at: Micros,
-    figures: Metrics,
+    next_drain_check: Micros,
+    metrics: Metrics,
     /// Sessions that were passed to another process, and their servers; and what it is to hear.
-    passed: BTreeMap<SessionId, ServerId>,
+    handed_over: BTreeMap<SessionId, ServerId>,
     messages: Vec<Message>,
     /// When new settings were taken in last.
-    renamed_at: Micros,
+    reloaded_at: Micros,
     log: Vec<String>,
     /// Requests refused and attempts sent since the start.
     refusals: u64,
@@ -93,13 +93,13 @@
     /// What is told of each request, where that is asked for.
     tracer: Option<Tracer>,
     /// The rules that the brokers agree on, once there are any.
-    ruled: Option<ruled::Ruled>,
+    rules: Option<ruled::NodeRules>,
     /// Time limits that follow from the settings in use.
     timings: Timings,
 }
 
 /// What the settings name the `i`th of a list; nothing if there is none.
-fn named(list: &[String], i: usize) -> &str {
+fn name_at(list: &[String], i: usize) -> &str {
     list.get(i).map_or("", String::as_str)
 }
 
@@ -123,22 +123,22 @@
                 )
             }),
             hook: config.hook.as_ref().and_then(|(text, operations)| Hook::new(text, *operations).ok()),
-            homes: BTreeMap::new(),
-            owed: VecDeque::new(),
-            owed_most: viewers::owed_most(config.memory),
+            session_conns: BTreeMap::new(),
+            pending_ends: VecDeque::new(),
+            max_pending_ends: viewers::max_pending_ends(config.memory),
             servers: BTreeMap::new(),
-            look_at: Micros(0),
+            next_inspection: Micros(0),
             phase: Phase::default(),
-            let_go_at: Micros::MAX,
-            figures: Metrics::default(),
-            passed: BTreeMap::new(),
+            next_drain_check: Micros::MAX,
+            metrics: Metrics::default(),
+            handed_over: BTreeMap::new(),
             messages: Vec::new(),
-            renamed_at: Micros(0),
+            reloaded_at: Micros(0),
             log: Vec::new(),
             refusals: 0,
             attempts: 0,
             tracer: None,
-            ruled: None,
+            rules: None,
             timings,
         }
     }
@@ -166,7 +166,7 @@
 
     /// How many fronts share the fleet, and which of them this one is.
     pub fn set_fleet_position(&mut self, now: Micros, count: u32, place: u32, out: &mut Vec<Command>) {
-        self.tell(now, Input::FleetPosition(count, place), out);
+        self.handle_input(now, Input::FleetPosition(count, place), out);
     }
 
     /// Time limits that follow from the settings in use.
@@ -184,9 +184,9 @@
     /// Takes a new script in. False if it can't be used: the old one stays.
     pub fn replace_script(&mut self, text: &str, operations: u64) -> bool {
         let hook = Hook::new(text, operations).ok();
-        let good = hook.is_some();
+        let is_valid = hook.is_some();
         self.hook = hook.or(self.hook.take());
-        good
+        is_valid
     }
 
     /// Whether anything is set up, or waits for it, at a server.
@@ -196,15 +196,15 @@
 
     /// Servers, sessions, attempts and clients' connections that anything is remembered of, at its fullest place.
     pub fn tracked_entries(&self) -> usize {
-        let own = [self.servers.len(), self.homes.len(), self.owed.len(), self.viewers.len()];
-        let own = own.into_iter().chain([self.figures.tracked_entries()]);
-        let told = self.tracer.as_ref().map_or(0, Tracer::tracked_entries);
+        let own = [self.servers.len(), self.session_conns.len(), self.pending_ends.len(), self.viewers.len()];
+        let own = own.into_iter().chain([self.metrics.tracked_entries()]);
+        let traced = self.tracer.as_ref().map_or(0, Tracer::tracked_entries);
         let others = [
             self.links.tracked_entries(),
             self.links.len(),
             self.pool.tracked_entries(),
             self.broker.tracked_entries(),
-            told,
+            traced,
         ];
         own.chain(others).max().unwrap_or(0)
     }
@@ -217,23 +217,23 @@
     /// When [`Node::tick`] is wanted next.
     pub fn next_alarm(&self) -> Micros {
         let alarms = [self.broker.next_alarm(), self.links.next_due(), self.pool.next_due()];
-        alarms.into_iter().flatten().fold(self.look_at.min(self.let_go_at), Micros::min)
+        alarms.into_iter().flatten().fold(self.next_inspection.min(self.next_drain_check), Micros::min)
     }
 
     /// Time has passed.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.links.write_due(now, out);
         self.pool.tick(now, out);
-        self.let_go(now, out);
-        self.tell(now, Input::Tick, out);
-        if now >= self.look_at {
-            self.look_at = now + INSPECTION_INTERVAL;
-            self.names.lately &= now < self.renamed_at + self.timings.old_names_accepted;
-            self.owed.retain(|(until, _)| *until > now);
-            self.look(now, out);
+        self.close_unneeded_clients(now, out);
+        self.handle_input(now, Input::Tick, out);
+        if now >= self.next_inspection {
+            self.next_inspection = now + INSPECTION_INTERVAL;
+            self.names.lately &= now < self.reloaded_at + self.timings.old_names_accepted;
+            self.pending_ends.retain(|(until, _)| *until > now);
+            self.check_silent_servers(now, out);
             self.links.tick(now, out);
-            self.close_clients(out, |c| c.overdue(now));
-            self.whip(now, out, |whip, sure, wishes| whip.tick(now, sure, wishes));
+            self.close_clients_where(out, |c| c.overdue(now));
+            self.with_whip(now, out, |whip, nothing_ran, actions| whip.tick(now, nothing_ran, actions));
         }
     }
 }
--- a/src/node/operate.rs
+++ b/src/node/operate.rs
@@ -20,10 +20,10 @@
                 None => Answer::Success("ready"),
                 Some(why) => Answer::Failure(why.word().to_owned()),
             },
-            Ok(Call::Vars) => Answer::Metrics(self.read_figures(now)),
+            Ok(Call::Vars) => Answer::Metrics(self.read_metrics(now)),
             Ok(Call::DrainOn) => {
                 let new = self.phase.drain(now);
-                self.let_go_at = self.phase.lets_go_from().unwrap_or(Micros::MAX);
+                self.next_drain_check = self.phase.lets_go_from().unwrap_or(Micros::MAX);
                 if let Some(whip) = &mut self.whip {
                     whip.keep(false);
                 }
@@ -31,7 +31,7 @@
             }
             Ok(Call::DrainOff) => {
                 let over = self.phase.undrain();
-                self.let_go_at = Micros::MAX;
+                self.next_drain_check = Micros::MAX;
                 if let Some(whip) = self.whip.as_mut().filter(|_| self.phase.unready(now).is_none()) {
                     whip.keep(true);
                 }
@@ -43,8 +43,8 @@
     }
 
     /// The figures as they are now.
-    fn read_figures(&mut self, now: Micros) -> String {
-        self.figures.classes(&self.names.classes);
+    fn read_metrics(&mut self, now: Micros) -> String {
+        self.metrics.classes(&self.names.classes);
         // A session that plays is a request that has not ended.
         let remaining = self.remaining();
         let gauges = Gauges {
@@ -55,13 +55,13 @@
             registry_entries: self.servers.len(),
             out_of_rotation: self.broker.out_of_rotation(now),
         };
-        self.figures.lines(gauges)
+        self.metrics.lines(gauges)
     }
 
     /// What is marked by these sessions was written whole: attempts on a connection to a server, answers on a client's.
     pub fn record_fully_written(&mut self, now: Micros, conn: ConnId, marked: &[SessionId]) {
         if self.links.has(conn) || self.pool.has(conn) {
-            marked.iter().for_each(|id| self.figures.relayed(*id));
+            marked.iter().for_each(|id| self.metrics.relayed(*id));
         } else if let Some(tracer) = &mut self.tracer {
             marked.iter().for_each(|id| tracer.reply_written(now, *id, conn));
         }
@@ -69,7 +69,7 @@
 
     /// A new configuration was taken in, or turned down.
     pub fn record_reload(&mut self, taken: bool) {
-        self.figures.file(taken);
+        self.metrics.file(taken);
     }
 
     /// A list is to come from some source: see [`crate::operate::phase::Phase::awaits_list`].
@@ -81,18 +81,18 @@
     /// clients' connections are let go.
     pub fn start_refusing(&mut self, out: &mut Vec<Command>) {
         self.phase.close();
-        self.let_all_go(out);
+        self.close_clients_when_stopping(out);
         if let Some(whip) = &mut self.whip {
             whip.keep(false);
         }
         while let Some((_, conn)) = self.whip.as_ref().and_then(|whip| whip.longest_idle()) {
-            self.whip(Micros(0), out, |whip, _, wishes| whip.let_go(conn, wishes));
+            self.with_whip(Micros(0), out, |whip, _, actions| whip.let_go(conn, actions));
         }
     }
 
     /// Once the doors are closed and nothing plays whose end is still to be told, lets every connection go on which no
     /// answer is owed.
-    pub(super) fn let_all_go(&mut self, out: &mut Vec<Command>) {
+    pub(super) fn close_clients_when_stopping(&mut self, out: &mut Vec<Command>) {
         if !self.phase.closed() || self.broker.established() > 0 {
             return;
         }
@@ -103,26 +103,26 @@
     }
 
     /// Lets clients' connections go that the phase has no use for. What stands on none of them plays on.
-    pub(super) fn let_go(&mut self, now: Micros, out: &mut Vec<Command>) {
-        if now < self.let_go_at {
+    pub(super) fn close_unneeded_clients(&mut self, now: Micros, out: &mut Vec<Command>) {
+        if now < self.next_drain_check {
             return;
         }
-        self.let_go_at = now + DRAIN_CHECK_INTERVAL;
+        self.next_drain_check = now + DRAIN_CHECK_INTERVAL;
         let phase = self.phase;
-        self.close_clients(out, |c| {
+        self.close_clients_where(out, |c| {
             let quiet = !c.is_closing && c.unanswered.is_empty() && c.partial_since.is_none();
             (quiet && phase.lets_go(now, c.last_used, c.has_spoken)).then_some("draining")
         });
     }
 
     /// Ends clients' connections that there is a reason to end; those that a session was set up on stay.
-    pub(super) fn close_clients(
+    pub(super) fn close_clients_where(
         &mut self,
         out: &mut Vec<Command>,
         why: impl Fn(&ViewerConn) -> Option<&'static str>,
     ) {
-        let homes: BTreeSet<ConnId> = self.homes.values().copied().collect();
-        for (conn, c) in self.viewers.iter_mut().filter(|(conn, _)| !homes.contains(conn)) {
+        let with_session: BTreeSet<ConnId> = self.session_conns.values().copied().collect();
+        for (conn, c) in self.viewers.iter_mut().filter(|(conn, _)| !with_session.contains(conn)) {
             if let Some(reason) = why(c) {
                 c.is_closing = true;
                 out.push(if reason == UNFINISHED_REASON {
--- a/src/node/ruled.rs
+++ b/src/node/ruled.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Node, named};
+use super::{Node, name_at};
 use crate::api::*;
 use crate::broker::Input;
 use crate::faults;
@@ -14,10 +14,10 @@
 
 /// What a node knows of its rules.
 #[derive(Default)]
-pub(super) struct Ruled {
-    standing: LocalRules,
-    gate: RateLimiter,
-    boot: BootTime,
+pub(super) struct NodeRules {
+    local: LocalRules,
+    limiter: RateLimiter,
+    boot_time: BootTime,
     /// Barred servers, as the lists have them.
     barred: BTreeMap<ServerId, ServerEntry>,
 }
@@ -25,52 +25,52 @@
 impl Node {
     /// Whether there are rules to go by.
     pub fn has_rules(&self) -> bool {
-        self.ruled.is_some()
+        self.rules.is_some()
     }
 
     /// The moment on the clock by which rules count, as it is now.
-    pub fn set_boot_time(&mut self, boot: BootTime) {
-        if let Some(ruled) = &mut self.ruled {
-            ruled.boot = boot;
+    pub fn set_boot_time(&mut self, boot_time: BootTime) {
+        if let Some(rules) = &mut self.rules {
+            rules.boot_time = boot_time;
         }
     }
 
     /// What this broker acts on from now on.
-    pub fn set_rules(&mut self, now: Micros, standing: LocalRules, out: &mut Vec<Command>) {
-        let ruled = self.ruled.get_or_insert_with(Ruled::default);
-        let before = std::mem::replace(&mut ruled.standing, standing).versions();
+    pub fn set_rules(&mut self, now: Micros, local: LocalRules, out: &mut Vec<Command>) {
+        let rules = self.rules.get_or_insert_with(NodeRules::default);
+        let before = std::mem::replace(&mut rules.local, local).versions();
         // Each answer to a beat comes by here; who is barred changes with the versions alone.
-        if ruled.standing.versions() == before {
+        if rules.local.versions() == before {
             return;
         }
         let listed = self.broker.listed();
         let mut changes = Vec::new();
         for entry in listed {
-            let bars = ruled.standing.bars(&entry.id.0);
-            match (bars, ruled.barred.contains_key(&entry.id)) {
+            let is_barred = rules.local.bars(&entry.id.0);
+            match (is_barred, rules.barred.contains_key(&entry.id)) {
                 (true, false) => {
-                    ruled.barred.insert(entry.id.clone(), entry.clone());
+                    rules.barred.insert(entry.id.clone(), entry.clone());
                     changes.push(ServerEntry { state: entry.state.barred(), ..entry });
                 }
-                (false, true) => changes.extend(ruled.barred.remove(&entry.id)),
+                (false, true) => changes.extend(rules.barred.remove(&entry.id)),
                 _ => {}
             }
         }
         if !changes.is_empty() {
-            self.tell(now, Input::Servers { kind: ListKind::Changes, servers: changes }, out);
+            self.handle_input(now, Input::Servers { kind: ListKind::Changes, servers: changes }, out);
         }
     }
 
     /// Entries of a list as the rules let them be.
-    pub(super) fn allowed(&mut self, servers: Vec<ServerEntry>) -> Vec<ServerEntry> {
-        let Some(ruled) = &mut self.ruled else { return servers };
+    pub(super) fn apply_barred(&mut self, servers: Vec<ServerEntry>) -> Vec<ServerEntry> {
+        let Some(rules) = &mut self.rules else { return servers };
         let mut allowed = Vec::with_capacity(servers.len());
         for entry in servers {
-            if entry.state == ServerState::Gone || !ruled.standing.bars(&entry.id.0) {
-                ruled.barred.remove(&entry.id);
+            if entry.state == ServerState::Gone || !rules.local.bars(&entry.id.0) {
+                rules.barred.remove(&entry.id);
                 allowed.push(entry);
             } else {
-                ruled.barred.insert(entry.id.clone(), entry.clone());
+                rules.barred.insert(entry.id.clone(), entry.clone());
                 allowed.push(ServerEntry { state: entry.state.barred(), ..entry });
             }
         }
@@ -78,29 +78,29 @@
     }
 
     /// Whether a request is let through, or how long it is to wait.
-    pub(super) fn let_through(&mut self, now: Micros, request: &Request) -> Result<(), Micros> {
-        let Some(ruled) = &mut self.ruled else { return Ok(()) };
-        let tenant = named(&self.names.tenants, request.tenant);
-        let class = named(&self.names.classes, request.class);
-        let ruling = ruled.standing.ruling(ruled.boot, tenant, class);
+    pub(super) fn check_rate_limit(&mut self, now: Micros, request: &Request) -> Result<(), Micros> {
+        let Some(rules) = &mut self.rules else { return Ok(()) };
+        let tenant = name_at(&self.names.tenants, request.tenant);
+        let class = name_at(&self.names.classes, request.class);
+        let decision = rules.local.ruling(rules.boot_time, tenant, class);
         if cfg!(feature = "trials") {
             // By the clock that all processes of a trial share.
-            let at = (ruled.boot.0 as f64 / faults::injected_value("clock-rate").unwrap_or(1.0)) as u64;
-            let held = |state: &str, version: u64| {
-                let per_s = match ruling {
+            let at = (rules.boot_time.0 as f64 / faults::injected_value("clock-rate").unwrap_or(1.0)) as u64;
+            let log_line = |state: &str, version: u64| {
+                let per_s = match decision {
                     RateDecision::Free => "free".to_owned(),
                     RateDecision::Limit { per_s, .. } => per_s.to_string(),
                     RateDecision::Refuse(_) => "refuse".to_owned(),
                 };
                 format!("rules.held at={at} class={class} state={state} version={version} per_s={per_s}")
             };
-            self.log.push(match ruled.standing.sure(ruled.boot) {
-                RulesFreshness::None => held("none", 0),
-                RulesFreshness::Fresh(version) => held("fresh", version),
-                RulesFreshness::Between(version, _) => held("between", version),
-                RulesFreshness::Unsure(version) => held("unsure", version),
+            self.log.push(match rules.local.sure(rules.boot_time) {
+                RulesFreshness::None => log_line("none", 0),
+                RulesFreshness::Fresh(version) => log_line("fresh", version),
+                RulesFreshness::Between(version, _) => log_line("between", version),
+                RulesFreshness::Unsure(version) => log_line("unsure", version),
             });
         }
-        ruled.gate.ask(now, request.tenant, request.class, ruling)
+        rules.limiter.ask(now, request.tenant, request.class, decision)
     }
 }
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -11,18 +11,19 @@
 
 impl Node {
     /// Tells of the connections to a server that are among fresh commands.
-    pub(super) fn dialled(&mut self, now: Micros, server: &ServerId, why: &str, fresh: &[Command]) {
+    pub(super) fn trace_dials(&mut self, now: Micros, server: &ServerId, why: &str, commands: &[Command]) {
         if let Some(tracer) = &mut self.tracer {
-            let dials = fresh.iter().filter(|c| matches!(c, Command::Dial(..)));
+            let dials = commands.iter().filter(|c| matches!(c, Command::Dial(..)));
             dials.for_each(|_| tracer.dial(now, server, why));
         }
     }
 
     /// Servers with sessions must be heard of: one that is silent is tried, and each needs a way for its notes.
-    pub(super) fn look(&mut self, now: Micros, out: &mut Vec<Command>) {
+    pub(super) fn check_silent_servers(&mut self, now: Micros, out: &mut Vec<Command>) {
         // Those that speak WHIP or WHEP have no connection of their own to be heard on.
-        let spoken = self.servers.keys().filter(|s| !self.pool.serves(s));
-        let busy: Vec<ServerId> = spoken.filter(|s| self.broker.has_established_at(s)).cloned().collect();
+        let platform_servers = self.servers.keys().filter(|s| !self.pool.serves(s));
+        let busy: Vec<ServerId> =
+            platform_servers.filter(|s| self.broker.has_established_at(s)).cloned().collect();
         let connected = self.links.connected_servers();
         for server in self.links.silent_servers(now, busy.iter().cloned()) {
             self.check_server(now, &server, out);
@@ -41,41 +42,41 @@
     /// Finds out by one more connection whether a server is lost.
     pub(super) fn check_server(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) {
         let before = out.len();
-        let there = self.links.check_server(now, server, out);
-        self.dialled(now, server, "check", &out[before..]);
-        if !there {
-            self.tell(now, Input::ServerLost(server.clone()), out);
+        let has_address = self.links.check_server(now, server, out);
+        self.trace_dials(now, server, "check", &out[before..]);
+        if !has_address {
+            self.handle_input(now, Input::ServerLost(server.clone()), out);
         }
     }
 
     /// News of the list of servers.
-    pub fn update_server_list(&mut self, now: Micros, news: ListUpdate, out: &mut Vec<Command>) {
-        if !news.servers.is_empty() {
+    pub fn update_server_list(&mut self, now: Micros, update: ListUpdate, out: &mut Vec<Command>) {
+        if !update.servers.is_empty() {
             self.phase.listed();
         }
         let mut lost = Vec::new();
-        if news.kind == ListKind::Complete {
-            let named: BTreeSet<&ServerId> = news.servers.iter().map(|l| &l.entry.id).collect();
-            lost.extend(self.servers.keys().filter(|id| !named.contains(id)).cloned());
+        if update.kind == ListKind::Complete {
+            let listed: BTreeSet<&ServerId> = update.servers.iter().map(|l| &l.entry.id).collect();
+            lost.extend(self.servers.keys().filter(|id| !listed.contains(id)).cloned());
             for id in &lost {
                 self.servers.remove(id);
                 self.links.forget(id);
                 self.pool.forget(id);
             }
         }
-        for listed in &news.servers {
+        for listed in &update.servers {
             let (id, state, up) = (&listed.entry.id, listed.entry.state, listed.entry.up_since);
             match &listed.paths {
                 Some(paths) => {
                     let moved = self.pool.listed(id, listed.address, paths, state, out);
-                    let other = moved || self.links.knows(id);
+                    let is_replaced = moved || self.links.knows(id);
                     self.links.forget(id);
-                    lost.extend(other.then(|| id.clone()));
+                    lost.extend(is_replaced.then(|| id.clone()));
                 }
                 None => {
-                    let other = self.pool.serves(id) && state != ServerState::Gone;
+                    let is_replaced = self.pool.serves(id) && state != ServerState::Gone;
                     self.pool.forget(id);
-                    lost.extend(other.then(|| id.clone()));
+                    lost.extend(is_replaced.then(|| id.clone()));
                     lost.extend(self.links.listed(id, listed.address, state, out));
                 }
             }
@@ -91,41 +92,45 @@
         }
         for server in lost {
             self.pool.lost(now, &server, false, out);
-            self.tell(now, Input::ServerLost(server), out);
+            self.handle_input(now, Input::ServerLost(server), out);
         }
-        let servers: Vec<ServerEntry> = news.servers.into_iter().map(|l| l.entry).collect();
-        let servers = self.allowed(servers);
+        let servers: Vec<ServerEntry> = update.servers.into_iter().map(|l| l.entry).collect();
+        let servers = self.apply_barred(servers);
         if let Some(tracer) = &mut self.tracer {
             tracer.listed(&servers);
-            if news.kind == ListKind::Complete {
+            if update.kind == ListKind::Complete {
                 tracer.only(|id| self.servers.contains_key(id));
             }
         }
-        self.tell(now, Input::Servers { kind: news.kind, servers }, out);
+        self.handle_input(now, Input::Servers { kind: update.kind, servers }, out);
     }
 
     /// What servers that speak WHIP or WHEP tell.
-    pub(super) fn told(&mut self, now: Micros, told: Vec<PoolEvent>, out: &mut Vec<Command>) {
-        for told in told {
-            match told {
+    pub(super) fn handle_pool_events(&mut self, now: Micros, events: Vec<PoolEvent>, out: &mut Vec<Command>) {
+        for event in events {
+            match event {
                 PoolEvent::Answer(id, server, answer) => {
-                    self.tell(now, Input::Established { id, server, answer }, out)
+                    self.handle_input(now, Input::Established { id, server, answer }, out)
                 }
                 PoolEvent::Ended(id, server, status, load) => {
-                    self.tell(now, Input::Ended { id, server, status, load }, out);
+                    self.handle_input(now, Input::Ended { id, server, status, load }, out);
+                }
+                PoolEvent::Note(id, server, note) => {
+                    self.handle_input(now, Input::Note { id, server, note }, out)
                 }
-                PoolEvent::Note(id, server, note) => self.tell(now, Input::Note { id, server, note }, out),
                 PoolEvent::Refused(server) => {
                     // One that drains may turn connections down while its sessions play.
                     let ready = self.servers.get(&server).is_some_and(|(s, _)| *s == ServerState::Ready);
                     if ready && self.broker.has_established_at(&server) {
                         self.pool.lost(now, &server, true, out);
-                        self.tell(now, Input::ServerLost(server), out);
+                        self.handle_input(now, Input::ServerLost(server), out);
                     }
                 }
                 PoolEvent::Patched(conn, id, answer) => {
-                    self.whip(now, out, |whip, _, wishes| whip.patched(conn, id, answer, wishes));
-                    self.whip(now, out, |whip, sure, wishes| whip.read_on(now, sure, wishes));
+                    self.with_whip(now, out, |whip, _, actions| whip.patched(conn, id, answer, actions));
+                    self.with_whip(now, out, |whip, nothing_ran, actions| {
+                        whip.read_on(now, nothing_ran, actions)
+                    });
                 }
                 PoolEvent::Log(line) => self.log.push(line),
             }
@@ -137,18 +142,18 @@
         self.pool.ending()
     }
 
-    pub(super) fn heard(
+    pub(super) fn handle_server_message(
         &mut self,
         now: Micros,
         server: &ServerId,
-        heard: ServerMessage,
+        message: ServerMessage,
         out: &mut Vec<Command>,
     ) {
-        if self.passes_on(&heard) {
+        if self.forward_if_handed_over(&message) {
             return;
         }
         let server = server.clone();
-        let input = match heard {
+        let input = match message {
             ServerMessage::Answer(id, answer) => Input::Established { id, server, answer },
             ServerMessage::Release(id, cause, load) => {
                 let status = release_status(cause, self.broker.is_established_at(id, &server));
@@ -156,11 +161,17 @@
             }
             ServerMessage::Note(id, note) => Input::Note { id, server, note },
         };
-        self.tell(now, input, out);
+        self.handle_input(now, input, out);
     }
 
     /// Gives an attempt up. Media servers that speak WHIP know no such word: what they answer late is ended then.
-    pub(super) fn give_up(&mut self, now: Micros, id: SessionId, server: ServerId, out: &mut Vec<Command>) {
+    pub(super) fn give_up_attempt(
+        &mut self,
+        now: Micros,
+        id: SessionId,
+        server: ServerId,
+        out: &mut Vec<Command>,
+    ) {
         let withdrawal = if self.pool.holds(id) {
             self.pool.give_up(now, id, out);
             Withdrawal::Done
@@ -168,11 +179,11 @@
             self.links.give_up(now, id, &server, out)
         };
         if withdrawal == Withdrawal::Done {
-            self.tell(now, Input::Withdrawn { id, server }, out);
+            self.handle_input(now, Input::Withdrawn { id, server }, out);
         }
     }
 
-    pub(super) fn send(&mut self, now: Micros, set_up: &SetUp, out: &mut Vec<Command>) {
+    pub(super) fn send_set_up(&mut self, now: Micros, set_up: &SetUp, out: &mut Vec<Command>) {
         let class = self.names.classes.get(set_up.class).cloned().unwrap_or_default();
         if let Some(tracer) = &mut self.tracer {
             tracer.sent(now, set_up.id, &set_up.server, set_up.rung);
@@ -183,10 +194,10 @@
         } else {
             self.links.set_up(now, set_up, &class, out)
         };
-        self.dialled(now, &set_up.server, "set-up", &out[before..]);
+        self.trace_dials(now, &set_up.server, "set-up", &out[before..]);
         if let Err(status) = sent {
             let (id, server, load) = (set_up.id, set_up.server.clone(), Load::default());
-            self.tell(now, Input::Ended { id, server, status, load }, out);
+            self.handle_input(now, Input::Ended { id, server, status, load }, out);
         }
     }
 }
--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -23,12 +23,12 @@
             |class| self.broker.uses_class(class) || titles.iter().any(|(c, _)| *c == class),
             |tenant| self.broker.uses_tenant(tenant) || titles.iter().any(|(_, t)| *t == tenant),
         );
-        self.refront(config, &merged);
+        self.reload_front(config, &merged);
         let Merged { settings, names, waits, .. } = merged;
         self.timings = Timings::new(&settings, config.idle, config.connect_timeout);
         self.links.update_timings(self.timings);
-        (self.names, self.settings, self.renamed_at) = (names, settings.clone(), now);
-        self.tell(now, Input::Settings(Box::new(settings)), out);
+        (self.names, self.settings, self.reloaded_at) = (names, settings.clone(), now);
+        self.handle_input(now, Input::Settings(Box::new(settings)), out);
         waits
     }
 
@@ -39,7 +39,7 @@
 
     /// Takes in what a new configuration says of the front and the script; what waits or plays is untouched.
     /// Titles and a script that are watched stay as their files have them.
-    fn refront(&mut self, config: &Config, merged: &Merged) {
+    fn reload_front(&mut self, config: &Config, merged: &Merged) {
         let watch = config.watch.as_ref();
         if watch.is_none_or(|w| w.script.is_none()) {
             self.hook = config.hook.as_ref().and_then(|(text, operations)| Hook::new(text, *operations).ok());
--- a/src/node/viewers.rs
+++ b/src/node/viewers.rs
@@ -1,6 +1,6 @@
 //! The platform's viewers: their connections, what they say, and the lines that go back to them.
 
-use super::{Node, named};
+use super::{Node, name_at};
 use crate::api::*;
 use crate::broker::{Effect, Input};
 use crate::message::line::Line;
@@ -18,63 +18,71 @@
 const PENDING_END_BYTES: usize = 256;
 
 /// How many releases may wait for a connection, where there is so much memory.
-pub(super) fn owed_most(memory: usize) -> usize {
+pub(super) fn max_pending_ends(memory: usize) -> usize {
     memory / PENDING_ENDS_MEMORY_DIVISOR / PENDING_END_BYTES
 }
 
 /// The final answer to a set-up.
-pub(super) enum Reply {
+pub(super) enum FinalAnswer {
     /// The session stands.
-    Plays(Line),
+    Established(Line),
     /// It was refused, or it failed.
-    Over(Line),
+    NotServed(Line),
 }
 
 impl Node {
-    pub(super) fn said(&mut self, now: Micros, conn: ConnId, said: ViewerMessage, out: &mut Vec<Command>) {
-        if !matches!(said, ViewerMessage::Ping(_)) {
-            self.pay_owed(now, conn, out);
+    pub(super) fn handle_viewer_message(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        message: ViewerMessage,
+        out: &mut Vec<Command>,
+    ) {
+        if !matches!(message, ViewerMessage::Ping(_)) {
+            self.send_pending_ends(now, conn, out);
         }
-        match said {
+        match message {
             ViewerMessage::Ping(id) => {
-                self.say(now, Some(conn), &viewer::pong(id, self.phase.passes(now)), out)
+                self.write_line(now, Some(conn), &viewer::pong(id, self.phase.passes(now)), out)
             }
             ViewerMessage::Release(id) => {
-                self.forget(id);
+                self.forget_session(id);
                 if self.broker.knows(id) {
-                    self.tell(now, Input::ClientLeft(id), out);
+                    self.handle_input(now, Input::ClientLeft(id), out);
                 } else {
-                    self.stray(id);
+                    self.forward_client_left(id);
                 }
             }
             ViewerMessage::SetUp(request, description) => {
                 let id = request.id;
                 if self.broker.knows(id) {
-                    return self.taken(now, conn, id, out);
+                    return self.reject_reused_id(now, conn, id, out);
                 }
-                self.homes.insert(id, conn);
+                self.session_conns.insert(id, conn);
                 if let Some(c) = self.viewers.get_mut(&conn) {
                     c.unanswered.insert(id);
                 }
-                self.ask(now, request, description.into_bytes().into(), out);
+                self.submit_request(now, request, description.into_bytes().into(), out);
+            }
+            ViewerMessage::Invalid(id, _) if self.broker.knows(id) => {
+                self.reject_reused_id(now, conn, id, out)
             }
-            ViewerMessage::Invalid(id, _) if self.broker.knows(id) => self.taken(now, conn, id, out),
             ViewerMessage::Invalid(id, class) => {
                 if let Some(class) = class {
-                    self.figures.asked(id, named(&self.names.classes, class));
-                    self.figures.answered(id, Outcome::Faulted);
+                    self.metrics.asked(id, name_at(&self.names.classes, class));
+                    self.metrics.answered(id, Outcome::Faulted);
                 }
-                self.say(now, Some(conn), &viewer::failed(id), out);
+                self.write_line(now, Some(conn), &viewer::failed(id), out);
             }
             ViewerMessage::ExistingSession(request, _) if self.phase.closed() => {
-                self.carry_out(now, Effect::Ended(request.id, Status::Reset), out);
+                self.apply_effect(now, Effect::Ended(request.id, Status::Reset), out);
             }
             ViewerMessage::ExistingSession(request, server) => {
-                self.homes.entry(request.id).or_insert(conn);
-                self.tell(now, Input::ExistingSession(request, server.clone()), out);
+                self.session_conns.entry(request.id).or_insert(conn);
+                self.handle_input(now, Input::ExistingSession(request, server.clone()), out);
                 let before = out.len();
                 self.links.ensure_connected(now, &server, out);
-                self.dialled(now, &server, "notes", &out[before..]);
+                self.trace_dials(now, &server, "notes", &out[before..]);
             }
         }
     }
@@ -91,11 +99,11 @@
 
     /// What waited for a connection goes out on one that has proved to be a viewer's: who only tests hears of no
     /// sessions (seen on a day with a drain, when the front's tests were the only connections).
-    fn pay_owed(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
+    fn send_pending_ends(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
         if let Some(c) = self.viewers.get_mut(&conn) {
             c.is_viewer = true;
         }
-        for (until, bytes) in std::mem::take(&mut self.owed) {
+        for (until, bytes) in std::mem::take(&mut self.pending_ends) {
             if until > now {
                 out.push(Command::WriteSessionEnd(conn, bytes));
             }
@@ -104,45 +112,51 @@
 
     /// A set-up under an id that is in use. The first keeps its single answer; the sender of the second is told by
     /// a failure, or by a close where a line with that id could mean the first.
-    pub(super) fn taken(&mut self, now: Micros, conn: ConnId, id: SessionId, out: &mut Vec<Command>) {
-        let own = self.homes.get(&id) == Some(&conn);
+    pub(super) fn reject_reused_id(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        id: SessionId,
+        out: &mut Vec<Command>,
+    ) {
+        let own = self.session_conns.get(&id) == Some(&conn);
         let Some(c) = self.viewers.get_mut(&conn) else { return };
         if own || c.unanswered.is_empty() {
             c.has_reused_id = true;
-            self.close_if_repeats(conn, out);
+            self.close_after_reused_id(conn, out);
         } else {
-            self.say(now, Some(conn), &viewer::failed(id), out);
+            self.write_line(now, Some(conn), &viewer::failed(id), out);
         }
     }
 
     /// A set-up's final answer.
-    pub(super) fn reply(
+    pub(super) fn send_final_answer(
         &mut self,
         now: Micros,
-        home: Option<ConnId>,
+        client_conn: Option<ConnId>,
         id: SessionId,
-        reply: &Reply,
+        answer: &FinalAnswer,
         out: &mut Vec<Command>,
     ) {
-        let home = home.filter(|conn| self.viewers.contains_key(conn));
+        let client_conn = client_conn.filter(|conn| self.viewers.contains_key(conn));
         if let Some(tracer) = &mut self.tracer {
-            tracer.replied(now, id, home);
+            tracer.replied(now, id, client_conn);
         }
         // A session that stands is marked: it ends if its client can't be told of it.
-        let (line, mark) = match reply {
-            Reply::Plays(line) => (line, Some(id)),
-            Reply::Over(line) => (line, None),
+        let (line, mark) = match answer {
+            FinalAnswer::Established(line) => (line, Some(id)),
+            FinalAnswer::NotServed(line) => (line, None),
         };
-        self.say_marked(home, line, mark, out);
+        self.write_marked_line(client_conn, line, mark, out);
         if mutant::on(Mutant::AnsweredTwice) {
-            self.say_marked(home, line, None, out);
+            self.write_marked_line(client_conn, line, None, out);
         }
-        if let Some(conn) = home {
-            self.close_if_repeats(conn, out);
+        if let Some(conn) = client_conn {
+            self.close_after_reused_id(conn, out);
         }
     }
 
-    pub(super) fn close_if_repeats(&mut self, conn: ConnId, out: &mut Vec<Command>) {
+    pub(super) fn close_after_reused_id(&mut self, conn: ConnId, out: &mut Vec<Command>) {
         if let Some(c) = self
             .viewers
             .get_mut(&conn)
@@ -154,28 +168,34 @@
     }
 
     /// The answer to a request goes out on its connection.
-    pub(super) fn answered(&mut self, now: Micros, id: SessionId) -> Option<ConnId> {
-        let home = self.homes.get(&id).copied();
-        if let Some(c) = home.and_then(|home| self.viewers.get_mut(&home)) {
+    pub(super) fn settle_request(&mut self, now: Micros, id: SessionId) -> Option<ConnId> {
+        let client_conn = self.session_conns.get(&id).copied();
+        if let Some(c) = client_conn.and_then(|client_conn| self.viewers.get_mut(&client_conn)) {
             c.unanswered.remove(&id);
             c.last_used = now;
         }
-        home
+        client_conn
     }
 
-    pub(super) fn forget(&mut self, id: SessionId) {
-        if let Some(home) = self.homes.remove(&id)
-            && let Some(c) = self.viewers.get_mut(&home)
+    pub(super) fn forget_session(&mut self, id: SessionId) {
+        if let Some(client_conn) = self.session_conns.remove(&id)
+            && let Some(c) = self.viewers.get_mut(&client_conn)
         {
             c.unanswered.remove(&id);
         }
     }
 
-    pub(super) fn say(&mut self, _now: Micros, conn: Option<ConnId>, line: &Line, out: &mut Vec<Command>) {
-        self.say_marked(conn, line, None, out);
+    pub(super) fn write_line(
+        &mut self,
+        _now: Micros,
+        conn: Option<ConnId>,
+        line: &Line,
+        out: &mut Vec<Command>,
+    ) {
+        self.write_marked_line(conn, line, None, out);
     }
 
-    fn say_marked(
+    fn write_marked_line(
         &mut self,
         conn: Option<ConnId>,
         line: &Line,
@@ -188,26 +208,32 @@
     }
 
     /// A session that stands belongs to no connection: its end goes out on its own, on any, or on the next.
-    pub(super) fn say_anywhere(
+    pub(super) fn send_session_end(
         &mut self,
         now: Micros,
-        home: Option<ConnId>,
+        client_conn: Option<ConnId>,
         line: &Line,
         out: &mut Vec<Command>,
     ) {
         if let Ok(bytes) = line.encode() {
-            self.tell_end(now, home, bytes, out);
+            self.route_session_end(now, client_conn, bytes, out);
         }
     }
 
-    fn tell_end(&mut self, now: Micros, home: Option<ConnId>, bytes: Vec<u8>, out: &mut Vec<Command>) {
+    fn route_session_end(
+        &mut self,
+        now: Micros,
+        client_conn: Option<ConnId>,
+        bytes: Vec<u8>,
+        out: &mut Vec<Command>,
+    ) {
         // What is written behind the end of a connection reaches nobody.
-        let open = |conn: &ConnId| self.viewers.get(conn).is_some_and(|c| !c.is_closing && c.is_viewer);
-        match home.filter(open).or_else(|| self.viewers.keys().rev().copied().find(open)) {
+        let is_usable = |conn: &ConnId| self.viewers.get(conn).is_some_and(|c| !c.is_closing && c.is_viewer);
+        match client_conn.filter(is_usable).or_else(|| self.viewers.keys().rev().copied().find(is_usable)) {
             Some(conn) => out.push(Command::WriteSessionEnd(conn, bytes)),
             None => {
-                self.owed.push_back((now + PENDING_END_LIFETIME, bytes));
-                self.owed.drain(..self.owed.len().saturating_sub(self.owed_most));
+                self.pending_ends.push_back((now + PENDING_END_LIFETIME, bytes));
+                self.pending_ends.drain(..self.pending_ends.len().saturating_sub(self.max_pending_ends));
             }
         }
     }
@@ -215,7 +241,7 @@
     /// Ends of sessions that were not written whole when their connection ended: they go out on another, or on the next.
     pub fn requeue_session_ends(&mut self, now: Micros, ends: Vec<Vec<u8>>, out: &mut Vec<Command>) {
         for bytes in ends {
-            self.tell_end(now, None, bytes, out);
+            self.route_session_end(now, None, bytes, out);
         }
     }
 }
