--- a/src/platform/links/tests.rs
+++ b/src/platform/links/tests.rs
@@ -3,7 +3,7 @@
 
 /// Guards against sessions that stay at a machine that vanished: without notes of its own nothing else tells of it.
 #[test]
-fn a_server_that_vanishes_is_found_out_where_servers_write_no_notes() {
+fn silent_server_is_lost_when_servers_write_no_notes() {
     let (second, start) = (Micros(1_000_000), Micros(1_000_000_000));
     let settings = Settings::new(vec![1.0], vec![1.0]);
     let mut links = Links::new(Timings::new(&settings, Micros(0), Micros(250_000)));
@@ -19,6 +19,6 @@
     out.clear();
     assert!(links.check_server(late, &server, &mut out));
     let Some(Command::Dial(tried, _)) = out.first() else { panic!("{out:?}") };
-    let broken = links.closed(late + Micros(250_000), *tried, &ConnectionEnd::NoAnswer).unwrap();
-    assert_eq!(broken.server_status, ServerStatus::Lost);
+    let lost = links.closed(late + Micros(250_000), *tried, &ConnectionEnd::NoAnswer).unwrap();
+    assert_eq!(lost.server_status, ServerStatus::Lost);
 }
--- a/src/platform/timings/tests.rs
+++ b/src/platform/timings/tests.rs
@@ -6,15 +6,15 @@
 }
 
 /// Settings with these deadlines, notes each `tell` and late by `see`, in milliseconds.
-fn settings(deadlines: &[u64], tell: u64, see: u64) -> Settings {
+fn settings(deadlines: &[u64], note_interval: u64, note_delay: u64) -> Settings {
     let mut settings = Settings::new(vec![1.0], vec![1.0]);
     settings.classes = deadlines.iter().map(|d| Class::new(ms(d / 3), ms(*d), Idempotency::Safe)).collect();
-    (settings.load_note_interval, settings.note_delay) = (ms(tell), ms(see));
+    (settings.load_note_interval, settings.note_delay) = (ms(note_interval), ms(note_delay));
     settings
 }
 
 #[test]
-fn a_client_may_stall_and_ask_under_an_old_name_for_as_long_as_the_longest_deadline() {
+fn stall_and_old_name_limits_follow_the_longest_deadline() {
     for (deadlines, longest) in [(&[1_200][..], 2_000), (&[3_000, 5_000], 5_000), (&[1_200, 10_000], 10_000)]
     {
         let timings = Timings::new(&settings(deadlines, 3_000, 1_000), ms(30_000), ms(250));
@@ -28,12 +28,15 @@
 
 /// Whatever notes and connections take, the end of a vanished server's sessions is told within 8 s of its last word.
 #[test]
-fn a_vanished_server_is_found_out_within_eight_seconds_in_any_deployment() {
+fn vanished_server_is_detected_within_eight_seconds_for_all_settings() {
     for connect in [100, 250, 700, 1_000, 2_000] {
-        for (tell, see) in [(0, 0), (2_000, 400), (3_000, 1_000), (5_000, 1_400), (9_000, 2_000)] {
-            let timings = Timings::new(&settings(&[3_000], tell, see), ms(30_000), ms(connect));
+        for (note_interval, note_delay) in
+            [(0, 0), (2_000, 400), (3_000, 1_000), (5_000, 1_400), (9_000, 2_000)]
+        {
+            let timings =
+                Timings::new(&settings(&[3_000], note_interval, note_delay), ms(30_000), ms(connect));
             let found = timings.note_timeout.max(timings.max_silence) + ms(connect) + ms(250);
-            assert!(found < ms(8_000), "{connect} {tell} {see}: {found:?}");
+            assert!(found < ms(8_000), "{connect} {note_interval} {note_delay}: {found:?}");
             assert!(timings.note_timeout <= timings.max_silence && timings.note_timeout >= ms(1_000));
         }
     }
@@ -43,7 +46,7 @@
 }
 
 #[test]
-fn the_notice_board_may_take_as_long_as_an_edge_server_to_come_up() {
+fn board_connect_timeout_follows_connect_timeout_within_bounds() {
     for (connect, board) in [(100, 400), (250, 400), (700, 700), (2_000, 1_000)] {
         let timings = Timings::new(&settings(&[3_000], 3_000, 1_000), ms(30_000), ms(connect));
         assert_eq!(timings.board_connect_timeout, ms(board));
@@ -53,7 +56,7 @@
 }
 
 #[test]
-fn idle_connections_are_used_for_most_of_the_time_that_servers_allow() {
+fn idle_margin_is_at_most_a_quarter_of_the_server_idle_timeout() {
     for (idle, spare) in [(2_500, 625), (6_000, 1_500), (30_000, 3_000), (120_000, 3_000)] {
         let timings = Timings::new(&settings(&[3_000], 3_000, 1_000), ms(idle), ms(250));
         assert_eq!(timings.idle_margin, ms(spare));
