--- a/tests/cuts.rs
+++ b/tests/cuts.rs
@@ -361,7 +361,7 @@
 /// stayed has exactly one answer in time, and nothing stands after the last DELETE; but where servers don't know
 /// sessions by the broker's names, what no byte of an answer ever told the broker of.
 #[test]
-fn paid_sessions_survive_cuts_at_any_byte() {
+fn sets_up_paid_sessions_once_when_connections_are_cut_at_any_byte() {
     let (mut stranded, mut set_up, mut answered) = (0, 0, 0);
     for (seed, named) in [(3, false), (17, false), (2026, false), (4, true), (18, true)] {
         let mut world = World::new(seed, named);
