--- a/tests/cuts.rs
+++ b/tests/cuts.rs
@@ -16,7 +16,7 @@
 use amberspindle::roster::ListUpdate;
 use support::{http, settings};
 
-const BOOKINGS: u32 = 420;
+const BOOKING_COUNT: u32 = 420;
 const DEADLINE_MS: u64 = 3000;
 /// One set-up in so many has its booking deleted before it can be done.
 const DELETE_ONE_IN: u32 = 8;
@@ -37,7 +37,7 @@
         cut: Option<usize>,
         made: Option<String>,
     },
-    Ask {
+    SetUp {
         booking: u32,
         tries: u32,
     },
@@ -49,11 +49,11 @@
 
 /// A session at a media server.
 #[derive(Default)]
-struct Made {
+struct EdgeSession {
     booking: String,
-    stands: bool,
+    is_established: bool,
     /// Its place reached the broker.
-    told: bool,
+    is_reported: bool,
 }
 
 struct Client {
@@ -66,7 +66,7 @@
     answers: Vec<u16>,
 }
 
-struct World {
+struct Simulation {
     node: Node,
     now: Micros,
     rng: fastrand::Rng,
@@ -75,18 +75,18 @@
     /// Connections to media servers, with what each has read.
     edges: BTreeMap<ConnId, Decoder>,
     clients: BTreeMap<ConnId, Client>,
-    made: BTreeMap<String, Made>,
+    sessions: BTreeMap<String, EdgeSession>,
     /// A booking that was set up twice.
-    twice: Option<String>,
+    duplicate_booking: Option<String>,
     /// Bookings that have had their last word.
-    done: BTreeSet<u32>,
+    finished: BTreeSet<u32>,
     statuses: BTreeMap<u16, u32>,
     answered: u32,
 }
 
-impl World {
+impl Simulation {
     /// `named`: media servers know sessions by the broker's names too.
-    fn new(seed: u64, named: bool) -> World {
+    fn new(seed: u64, named: bool) -> Simulation {
         let mut text = "[whip]\nlisten = \"127.0.0.1:0\"\nreclaim_ms = 400\n".to_owned();
         text += "[[title]]\nname = \"walk\"\nclass = \"paid\"\nhome = 0\ncopies = 3\n";
         for cell in 0..3 {
@@ -104,7 +104,7 @@
         let (seed_line, rest): (Vec<&str>, Vec<&str>) = text.lines().partition(|l| l.starts_with("seed = "));
         let text = seed_line.into_iter().chain(rest).collect::<Vec<_>>().join("\n");
         let config = Config::operator_text("operator.toml", &text, Path::new(".")).unwrap();
-        let mut world = World {
+        let mut simulation = Simulation {
             node: Node::new(&config),
             now: Micros(1_000_000_000),
             rng: fastrand::Rng::with_seed(seed),
@@ -112,30 +112,30 @@
             next: 0,
             edges: BTreeMap::new(),
             clients: BTreeMap::new(),
-            made: BTreeMap::new(),
-            twice: None,
-            done: BTreeSet::new(),
+            sessions: BTreeMap::new(),
+            duplicate_booking: None,
+            finished: BTreeSet::new(),
             statuses: BTreeMap::new(),
             answered: 0,
         };
         let mut out = Vec::new();
         let news = ListUpdate { kind: ListKind::Complete, servers: config.servers.clone() };
-        world.node.update_server_list(world.now, news, &mut out);
-        world.carry_out(out);
-        world
+        simulation.node.update_server_list(simulation.now, news, &mut out);
+        simulation.carry_out(out);
+        simulation
     }
 
-    fn at(&mut self, after: Micros, event: Event) {
+    fn schedule(&mut self, after: Micros, event: Event) {
         self.next += 1;
         self.events.insert((self.now + after, self.next), event);
     }
 
     /// Where something of this length is cut, if it is.
-    fn cut(&mut self, length: usize) -> Option<usize> {
+    fn random_cut(&mut self, length: usize) -> Option<usize> {
         (self.rng.u32(0..CUT_ONE_IN) == 0).then(|| self.rng.usize(0..=length))
     }
 
-    fn step(&mut self, act: impl FnOnce(&mut Node, Micros, &mut Vec<Command>)) {
+    fn run_node(&mut self, act: impl FnOnce(&mut Node, Micros, &mut Vec<Command>)) {
         let mut out = Vec::new();
         act(&mut self.node, self.now, &mut out);
         self.carry_out(out);
@@ -151,7 +151,7 @@
                 // Here a set-up is on its way as soon as it was written.
                 Command::Withdraw(conn, id, behind) => {
                     self.edge_reads(conn, &behind, None);
-                    self.step(|node, now, out| node.withdrawn(now, conn, id, out));
+                    self.run_node(|node, now, out| node.withdrawn(now, conn, id, out));
                 }
                 Command::Write(conn, bytes, tag) => self.client_reads(conn, &bytes, tag),
                 Command::WriteSessionEnd(conn, bytes) => self.client_reads(conn, &bytes, None),
@@ -159,11 +159,11 @@
                 | Command::CloseIfQuiet(conn, _)
                 | Command::Abort(conn, _)
                 | Command::LingeringClose(conn, _) => {
-                    let known = self.edges.remove(&conn).is_some() | self.gone(conn);
+                    let known = self.edges.remove(&conn).is_some() | self.drop_client(conn);
                     if known {
                         let how =
                             ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: false };
-                        self.at(Micros(100), Event::Closed(conn, how));
+                        self.schedule(Micros(100), Event::Closed(conn, how));
                     }
                 }
             }
@@ -173,20 +173,22 @@
     fn dial(&mut self, conn: ConnId, _: SocketAddr) {
         self.edges.insert(conn, Decoder::default());
         let refused = self.rng.u32(0..40) == 0;
-        self.at(ms(1), if refused { Event::Refused(conn) } else { Event::Opened(conn) });
+        self.schedule(ms(1), if refused { Event::Refused(conn) } else { Event::Opened(conn) });
     }
 
     /// The broker writes to a media server.
     fn edge_reads(&mut self, conn: ConnId, bytes: &[u8], tag: Option<SessionId>) {
-        let cut = self.cut(bytes.len());
+        let cut = self.random_cut(bytes.len());
         let Some(decoder) = self.edges.get_mut(&conn) else { return };
         decoder.feed(&bytes[..cut.unwrap_or(bytes.len())]);
         let request = decoder.next_request(64 * 1024).expect("the broker writes whole requests");
         if let Some(request) = request {
             let (answer, made) = match request.method.as_str() {
                 "DELETE" => {
-                    let stood =
-                        self.made.get_mut(&request.target).map(|m| std::mem::replace(&mut m.stands, false));
+                    let stood = self
+                        .sessions
+                        .get_mut(&request.target)
+                        .map(|m| std::mem::replace(&mut m.is_established, false));
                     let status = if stood == Some(true) { 200 } else { 404 };
                     (format!("HTTP/1.1 {status} x\r\nContent-Length: 0\r\n\r\n"), None)
                 }
@@ -198,10 +200,13 @@
                         ("HTTP/1.1 503 x\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n".into(), None)
                     } else {
                         let place = format!("/made/{}", request.target.split("of=").nth(1).unwrap());
-                        if self.made.values().any(|m| m.booking == booking) {
-                            self.twice = Some(booking.clone());
+                        if self.sessions.values().any(|m| m.booking == booking) {
+                            self.duplicate_booking = Some(booking.clone());
                         }
-                        self.made.insert(place.clone(), Made { booking, stands: true, told: false });
+                        self.sessions.insert(
+                            place.clone(),
+                            EdgeSession { booking, is_established: true, is_reported: false },
+                        );
                         let sdp = "v=0\r\nm=video 9\r\n";
                         let head = format!(
                             "HTTP/1.1 201 x\r\nLocation: {place}\r\nContent-Type: application/sdp\r\nContent-Length: {}\r\n\r\n",
@@ -212,17 +217,17 @@
                 }
             };
             if cut.is_none() {
-                let cut = self.cut(answer.len());
+                let cut = self.random_cut(answer.len());
                 // Some answers come after the client's time is over.
                 let late = if self.rng.u32(0..25) == 0 { DEADLINE_MS } else { 0 };
                 let delay = ms(late + self.rng.u64(1..30));
-                return self.at(delay, Event::Answer { conn, bytes: answer.into_bytes(), cut, made });
+                return self.schedule(delay, Event::Answer { conn, bytes: answer.into_bytes(), cut, made });
             }
         }
         if let Some(cut) = cut {
             self.edges.remove(&conn);
             let unsent = if cut == 0 { tag.into_iter().collect() } else { Vec::new() };
-            self.at(
+            self.schedule(
                 ms(1),
                 Event::Closed(conn, ConnectionEnd::Ended { unsent, unfinished: Vec::new(), reset: true }),
             );
@@ -231,14 +236,14 @@
 
     /// The broker writes to a client.
     fn client_reads(&mut self, conn: ConnId, bytes: &[u8], tag: Option<SessionId>) {
-        let cut = if bytes.is_empty() { None } else { self.cut(bytes.len()) };
+        let cut = if bytes.is_empty() { None } else { self.random_cut(bytes.len()) };
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.responses.feed(&bytes[..cut.unwrap_or(bytes.len())]);
         if cut.is_some_and(|cut| cut < bytes.len()) {
-            self.gone(conn);
+            self.drop_client(conn);
             let unfinished = tag.into_iter().collect();
             let how = ConnectionEnd::Ended { unsent: Vec::new(), unfinished, reset: true };
-            return self.at(ms(1), Event::Closed(conn, how));
+            return self.schedule(ms(1), Event::Closed(conn, how));
         }
         while let Ok(Some(response)) = client.responses.next_response(64 * 1024) {
             client.answers.push(response.status);
@@ -253,62 +258,62 @@
             let (booking, deletes, status) = (client.booking, client.deletes, client.answers[0]);
             self.clients.remove(&conn);
             let how = ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: false };
-            self.at(ms(1), Event::Closed(conn, how));
+            self.schedule(ms(1), Event::Closed(conn, how));
             let pause = ms(self.rng.u64(0..300));
             match (deletes, status) {
                 (true, _) => {
-                    self.done.insert(booking);
+                    self.finished.insert(booking);
                 }
                 // Refused: the booking is free, and its client comes again, unless it was told to end.
-                (false, 503) if !self.done.contains(&booking) => {
-                    self.at(pause, Event::Ask { booking, tries: 0 })
+                (false, 503) if !self.finished.contains(&booking) => {
+                    self.schedule(pause, Event::SetUp { booking, tries: 0 })
                 }
-                (false, _) => self.at(pause, Event::Delete { booking }),
+                (false, _) => self.schedule(pause, Event::Delete { booking }),
             }
         }
     }
 
     /// A client is gone: it comes again on another connection.
-    fn gone(&mut self, conn: ConnId) -> bool {
+    fn drop_client(&mut self, conn: ConnId) -> bool {
         let Some(client) = self.clients.remove(&conn) else { return false };
         let Client { booking, tries, deletes, .. } = client;
         let pause = ms(self.rng.u64(0..100));
         if deletes || tries > 3 {
-            self.at(pause, Event::Delete { booking });
+            self.schedule(pause, Event::Delete { booking });
         } else {
-            self.at(pause, Event::Ask { booking, tries: tries + 1 });
+            self.schedule(pause, Event::SetUp { booking, tries: tries + 1 });
         }
         true
     }
 
-    fn ask(&mut self, booking: u32, tries: u32, deletes: bool) {
+    fn send_request(&mut self, booking: u32, tries: u32, deletes: bool) {
         // Some bookings are deleted while their set-up is at any of its steps.
         if !deletes && self.rng.u32(0..DELETE_ONE_IN) == 0 {
             let meanwhile = ms(self.rng.u64(0..40));
-            self.at(meanwhile, Event::Delete { booking });
+            self.schedule(meanwhile, Event::Delete { booking });
         }
         let offer = format!("v=0\r\na=booking:{booking}\r\nm=video 9\r\n");
         let path = format!("/whip/walk/bookings/b-{booking}");
         let bytes = if deletes { http("DELETE", &path, None) } else { http("POST", &path, Some(&offer)) };
-        let cut = self.cut(bytes.len());
+        let cut = self.random_cut(bytes.len());
         let conn = self.node.allocate_conn_id();
         let (asked, responses, answers) = (self.now, Responses::default(), Vec::new());
         let whole = cut.is_none_or(|cut| cut == bytes.len());
         self.clients.insert(conn, Client { booking, tries, deletes, whole, asked, responses, answers });
-        self.step(|node, now, _| node.accepted(now, conn, Protocol::Whip));
-        self.step(|node, now, out| node.bytes(now, conn, &bytes[..cut.unwrap_or(bytes.len())], out));
-        if cut.is_some() && self.gone(conn) {
+        self.run_node(|node, now, _| node.accepted(now, conn, Protocol::Whip));
+        self.run_node(|node, now, out| node.bytes(now, conn, &bytes[..cut.unwrap_or(bytes.len())], out));
+        if cut.is_some() && self.drop_client(conn) {
             let how = ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: true };
-            self.at(ms(1), Event::Closed(conn, how));
+            self.schedule(ms(1), Event::Closed(conn, how));
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Opened(conn) => self.step(|node, now, out| node.opened(now, conn, out)),
+            Event::Opened(conn) => self.run_node(|node, now, out| node.opened(now, conn, out)),
             Event::Refused(conn) => {
                 self.edges.remove(&conn);
-                self.step(|node, now, out| node.closed(now, conn, &ConnectionEnd::Refused, out));
+                self.run_node(|node, now, out| node.closed(now, conn, &ConnectionEnd::Refused, out));
             }
             Event::Answer { conn, bytes, cut, made } => {
                 if !self.edges.contains_key(&conn) {
@@ -316,30 +321,30 @@
                 }
                 let heard = &bytes[..cut.unwrap_or(bytes.len())];
                 let told = heard.windows(4).any(|w| w == b"\r\n\r\n");
-                if let Some(made) = made.and_then(|place| self.made.get_mut(&place)) {
-                    made.told = told;
+                if let Some(made) = made.and_then(|place| self.sessions.get_mut(&place)) {
+                    made.is_reported = told;
                 }
                 if !heard.is_empty() {
-                    self.step(|node, now, out| node.bytes(now, conn, heard, out));
+                    self.run_node(|node, now, out| node.bytes(now, conn, heard, out));
                 }
                 if cut.is_some() && self.edges.remove(&conn).is_some() {
                     let how =
                         ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: true };
-                    self.step(|node, now, out| node.closed(now, conn, &how, out));
+                    self.run_node(|node, now, out| node.closed(now, conn, &how, out));
                 }
             }
-            Event::Ask { booking, tries } => self.ask(booking, tries, false),
-            Event::Delete { booking } => self.ask(booking, 0, true),
-            Event::Closed(conn, how) => self.step(|node, now, out| node.closed(now, conn, &how, out)),
+            Event::SetUp { booking, tries } => self.send_request(booking, tries, false),
+            Event::Delete { booking } => self.send_request(booking, 0, true),
+            Event::Closed(conn, how) => self.run_node(|node, now, out| node.closed(now, conn, &how, out)),
         }
-        if let Some(booking) = self.twice.take() {
+        if let Some(booking) = self.duplicate_booking.take() {
             panic!("a paid session was set up twice: booking {booking}");
         }
     }
 
     fn run(&mut self) {
-        for booking in 0..BOOKINGS {
-            self.at(ms(u64::from(booking) * 3), Event::Ask { booking, tries: 0 });
+        for booking in 0..BOOKING_COUNT {
+            self.schedule(ms(u64::from(booking) * 3), Event::SetUp { booking, tries: 0 });
         }
         let end = self.now + ms(120_000);
         while self.now < end {
@@ -349,9 +354,9 @@
             self.now = self.now.max(next);
             if event.is_some_and(|at| at <= self.now) {
                 let (_, event) = self.events.pop_first().unwrap();
-                self.happen(event);
+                self.handle_event(event);
             } else {
-                self.step(|node, now, out| node.tick(now, out));
+                self.run_node(|node, now, out| node.tick(now, out));
             }
         }
     }
@@ -364,27 +369,28 @@
 fn sets_up_paid_sessions_once_when_connections_are_cut_at_any_byte() {
     let (mut stranded, mut set_up, mut answered) = (0, 0, 0);
     for (seed, named) in [(3, false), (17, false), (2026, false), (4, true), (18, true)] {
-        let mut world = World::new(seed, named);
-        world.run();
-        let missing: Vec<u32> = (0..BOOKINGS).filter(|b| !world.done.contains(b)).collect();
+        let mut simulation = Simulation::new(seed, named);
+        simulation.run();
+        let missing: Vec<u32> = (0..BOOKING_COUNT).filter(|b| !simulation.finished.contains(b)).collect();
         assert!(missing.is_empty(), "seed {seed}: without a last word: {missing:?}");
         let mut sessions: BTreeMap<&str, u32> = BTreeMap::new();
-        for made in world.made.values() {
+        for made in simulation.sessions.values() {
             *sessions.entry(&made.booking).or_default() += 1;
         }
         assert!(sessions.values().all(|n| *n == 1), "seed {seed}: a paid session was set up twice");
-        let standing: Vec<(&String, &Made)> = world.made.iter().filter(|(_, m)| m.stands).collect();
+        let standing: Vec<(&String, &EdgeSession)> =
+            simulation.sessions.iter().filter(|(_, m)| m.is_established).collect();
         for (place, made) in &standing {
-            assert!(!made.told && !named, "seed {seed}: {place} of booking {} stands", made.booking);
+            assert!(!made.is_reported && !named, "seed {seed}: {place} of booking {} stands", made.booking);
         }
-        assert_eq!(world.node.open_counts(), (0, 0), "seed {seed}: the broker holds nothing");
-        assert_eq!(world.node.unheard_ends(), 0, "seed {seed}: every end was heard");
+        assert_eq!(simulation.node.open_counts(), (0, 0), "seed {seed}: the broker holds nothing");
+        assert_eq!(simulation.node.unheard_ends(), 0, "seed {seed}: every end was heard");
         for status in [200, 201] {
-            assert!(world.statuses.contains_key(&status), "seed {seed}: {:?}", world.statuses);
+            assert!(simulation.statuses.contains_key(&status), "seed {seed}: {:?}", simulation.statuses);
         }
         stranded += standing.len();
-        set_up += world.made.len();
-        answered += world.answered;
+        set_up += simulation.sessions.len();
+        answered += simulation.answered;
     }
     // The share that no broker could know of: answers that were cut before their head was whole.
     assert!(set_up > 1500 && answered > 4000, "{set_up} set up, {answered} answers");
