--- a/src/node/connections.rs
+++ b/src/node/connections.rs
@@ -1,4 +1,5 @@
-//! Connections that come up, bring bytes, make room for others, and end.
+//! Connection events: accepted, opened, bytes received, closed; and which connection is closed when
+//! descriptors run short.
 
 use std::collections::BTreeSet;
 
@@ -9,12 +10,12 @@
 use crate::platform::links::{Command, ConnId, ConnectionEnd, LostConnection, ServerStatus};
 
 impl Node {
-    /// A number for a connection.
+    /// Returns a new connection id.
     pub fn allocate_conn_id(&mut self) -> ConnId {
         self.links.allocate_conn_id()
     }
 
-    /// A client's connection was accepted.
+    /// Handles a connection accepted from a client.
     pub fn accepted(&mut self, now: Micros, conn: ConnId, front: Protocol) {
         if front == Protocol::Whip {
             if let Some(whip) = &mut self.whip {
@@ -25,13 +26,13 @@
         self.viewers.insert(conn, ViewerConn { last_used: now, ..ViewerConn::default() });
     }
 
-    /// A connection to a server has come up.
+    /// Handles a connection to a server that has been established.
     pub fn opened(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
         self.links.opened(now, conn, out);
         self.pool.opened(now, conn, out);
     }
 
-    /// Bytes came on a connection.
+    /// Handles bytes received on a connection.
     pub fn bytes(&mut self, now: Micros, conn: ConnId, bytes: &[u8], out: &mut Vec<Command>) {
         if self.links.has(conn) {
             let (server, messages) = self.links.bytes(now, conn, bytes, out);
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Descriptors are short: of the clients' connections that no set-up waits on the one goes that never said
-    /// anything, else one that no session was set up on, else the one that has been idle the longest.
+    /// Closes one client connection when descriptors are short. Among connections without unanswered set-ups,
+    /// one that never sent a message goes first, then one without a session, then the one idle the longest.
     pub fn make_room(&mut self, now: Micros, out: &mut Vec<Command>) {
         let with_session: BTreeSet<ConnId> = self.session_conns.values().copied().collect();
         let idle = self.viewers.iter().filter(|(_, c)| !c.is_closing && c.unanswered.is_empty());
@@ -99,14 +100,15 @@
         }
     }
 
-    /// The end of an attempt that was given up is written on its connection, or the attempt never left.
+    /// Handles the end of a withdrawal: the release was written on the connection of the attempt, or the
+    /// attempt was never written.
     pub fn withdrawn(&mut self, now: Micros, conn: ConnId, id: SessionId, out: &mut Vec<Command>) {
         if let Some(server) = self.links.withdrawn(now, conn, id) {
             self.handle_input(now, Input::Withdrawn { id, server }, out);
         }
     }
 
-    /// A connection has ended.
+    /// Handles a connection that has ended.
     pub fn closed(&mut self, now: Micros, conn: ConnId, how: &ConnectionEnd, out: &mut Vec<Command>) {
         let unfinished = match how {
             ConnectionEnd::Ended { unfinished, .. } => unfinished.as_slice(),
@@ -114,7 +116,8 @@
         };
         if let Some(c) = self.viewers.remove(&conn) {
             self.session_conns.retain(|_, client_conn| *client_conn != conn);
-            // Nobody waits there any more, and an answer that was not written whole was heard by nobody.
+            // The client no longer waits for its requests, and it has not received an answer that was only
+            // partly written.
             for id in c.unanswered.iter().chain(unfinished) {
                 self.handle_input(now, Input::ClientLeft(*id), out);
             }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! One broker without its sockets: carries what the fronts hear to the core and what the core decides to the
-//! fronts. Fed connections and bytes, gives [`Command`]s.
+//! A broker without sockets: passes client and server events to the core, and carries out the core's
+//! decisions. Its input is connections and bytes, its output [`Command`]s for the driver.
 
 mod connections;
 mod effects;
@@ -31,15 +31,15 @@
 pub use ending::{Remaining, UnansweredRequest};
 use viewer_conn::ViewerConn;
 
-/// The part of the memory that sessions and their descriptions may take: the latter lie in the queues to servers
-/// once more, and the program and its buffers need the rest.
+/// Share of the memory for sessions and their descriptions. Set-ups that wait for a server hold their
+/// description once more, and the program and its buffers need the rest.
 const SESSION_MEMORY_DIVISOR: usize = 4;
-/// Keeps the ids of the second front apart from the module's random numbers.
+/// Separates the random ids of the WHIP front from the random numbers of the module.
 const WHIP_SEED: u64 = 0x5748_4950;
-/// Time between looks at connections.
+/// Time between inspections of connections and silent servers.
 const INSPECTION_INTERVAL: Micros = Micros(250_000);
 
-/// What a connection that was accepted speaks.
+/// The protocol of an accepted connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
     /// The platform's JSON lines.
@@ -49,7 +49,7 @@
 }
 
 impl Protocol {
-    /// Its name in the log.
+    /// The name of the protocol in the log.
     pub fn name(self) -> &'static str {
         match self {
             Protocol::Platform => "viewer",
@@ -58,39 +58,45 @@
     }
 }
 
-/// One broker without its sockets.
+/// A broker without sockets.
 pub struct Node {
     broker: Broker,
     names: SettingNames,
     settings: Settings,
     links: Links,
-    /// Servers that speak WHIP or WHEP.
+    /// Connections to media servers, which speak WHIP or WHEP.
     pool: Pool,
     viewers: BTreeMap<ConnId, ViewerConn>,
     whip: Option<whip::WhipFront>,
     hook: Option<Hook>,
-    /// The connection that a session was set up on.
+    /// The client connection on which each session was set up.
     session_conns: BTreeMap<SessionId, ConnId>,
-    /// Lines that no connection was open for.
+    /// Session ends that could not be sent as no suitable connection was open, with the time at which each
+    /// expires.
     pending_ends: VecDeque<(Micros, Vec<u8>)>,
+    /// The number of session ends that may wait.
     max_pending_ends: usize,
-    /// What the list says of the servers, and when they started last.
+    /// The listed state of each server and the time of its last start.
     servers: BTreeMap<ServerId, (ServerState, Option<Micros>)>,
+    /// When connections and silent servers are inspected next.
     next_inspection: Micros,
-    /// Whether it serves, drains or ends, and when clients' connections are looked at for that.
+    /// Whether the broker serves, drains or ends.
     phase: Phase,
+    /// When client connections are next checked for closing.
     next_drain_check: Micros,
     metrics: Metrics,
-    /// Sessions that were passed to another process, and their servers; and what it is to hear.
+    /// Sessions handed over to another process, with their servers.
     handed_over: BTreeMap<SessionId, ServerId>,
+    /// Messages for the other process of a hand-over.
     messages: Vec<Message>,
-    /// When new settings were taken in last.
+    /// When the settings were last reloaded.
     reloaded_at: Micros,
     log: Vec<String>,
-    /// Requests refused and attempts sent since the start.
+    /// Requests refused since the start.
     refusals: u64,
+    /// Attempts sent since the start.
     attempts: u64,
-    /// What is told of each request, where that is asked for.
+    /// Writes the trace of requests, where it is enabled.
     tracer: Option<Tracer>,
     /// The rules that the brokers agree on, once there are any.
     rules: Option<ruled::NodeRules>,
@@ -98,13 +104,13 @@
     timings: Timings,
 }
 
-/// What the settings name the `i`th of a list; nothing if there is none.
+/// Returns the name at an index of a list from the settings, or an empty string.
 fn name_at(list: &[String], i: usize) -> &str {
     list.get(i).map_or("", String::as_str)
 }
 
 impl Node {
-    /// A node that knows its configuration.
+    /// Creates a node from its configuration.
     pub fn new(config: &Config) -> Node {
         let timings = Timings::new(&config.settings, config.idle, config.connect_timeout);
         Node {
@@ -143,45 +149,45 @@
         }
     }
 
-    /// Tells of each request from now on, so many lines a second at most; nothing for 0.
+    /// Enables the trace of requests with at most this number of lines per second; 0 disables it.
     pub fn trace(&mut self, lines_per_s: u32) {
         self.tracer = (lines_per_s > 0).then(|| Tracer::new(lines_per_s));
     }
 
-    /// What is to be told of requests since the last call, and when each was.
+    /// Returns the trace events since the last call, each with its time.
     pub fn take_trace(&mut self) -> Vec<(Micros, Traced)> {
         self.tracer.as_mut().map(Tracer::take).unwrap_or_default()
     }
 
-    /// Requests that are owed an answer, and sessions that stand.
+    /// Returns the number of unanswered requests and the number of established sessions.
     pub fn open_counts(&self) -> (usize, usize) {
         (self.broker.unanswered(), self.broker.established())
     }
 
-    /// What the fleet's record tells of this broker.
+    /// Returns the counts of this broker for the record of the fleet.
     pub fn counts(&self) -> Counts {
         let sessions = self.broker.established() as u64;
         Counts { sessions, refusals: self.refusals, attempts: self.attempts }
     }
 
-    /// How many fronts share the fleet, and which of them this one is.
+    /// Sets the number of brokers that share the fleet, and the index of this one.
     pub fn set_fleet_position(&mut self, now: Micros, count: u32, place: u32, out: &mut Vec<Command>) {
         self.handle_input(now, Input::FleetPosition(count, place), out);
     }
 
-    /// Time limits that follow from the settings in use.
+    /// Returns the time limits that follow from the settings in use.
     pub fn timings(&self) -> Timings {
         self.timings
     }
 
-    /// Takes new titles in; sessions of titles that are no longer there play on.
+    /// Replaces the titles. Sessions of removed titles play on.
     pub fn replace_titles(&mut self, titles: BTreeMap<String, Title>) {
         if let Some(whip) = &mut self.whip {
             whip.replace_titles(titles);
         }
     }
 
-    /// Takes a new script in. False if it can't be used: the old one stays.
+    /// Replaces the script. Returns false and keeps the old script if the new one can't be used.
     pub fn replace_script(&mut self, text: &str, operations: u64) -> bool {
         let hook = Hook::new(text, operations).ok();
         let is_valid = hook.is_some();
@@ -189,12 +195,13 @@
         is_valid
     }
 
-    /// Whether anything is set up, or waits for it, at a server.
+    /// Whether any session is established at a server.
     pub fn has_sessions_at(&self, server: &ServerId) -> bool {
         self.broker.has_established_at(server)
     }
 
-    /// Servers, sessions, attempts and clients' connections that anything is remembered of, at its fullest place.
+    /// The size of the largest table of servers, sessions, attempts or connections, for checks against
+    /// unbounded growth.
     pub fn tracked_entries(&self) -> usize {
         let own = [self.servers.len(), self.session_conns.len(), self.pending_ends.len(), self.viewers.len()];
         let own = own.into_iter().chain([self.metrics.tracked_entries()]);
@@ -209,18 +216,18 @@
         own.chain(others).max().unwrap_or(0)
     }
 
-    /// Lines for the log since the last call.
+    /// Returns the log lines since the last call.
     pub fn take_log(&mut self) -> Vec<String> {
         std::mem::take(&mut self.log)
     }
 
-    /// When [`Node::tick`] is wanted next.
+    /// The time at which [`Node::tick`] must be called next.
     pub fn next_alarm(&self) -> Micros {
         let alarms = [self.broker.next_alarm(), self.links.next_due(), self.pool.next_due()];
         alarms.into_iter().flatten().fold(self.next_inspection.min(self.next_drain_check), Micros::min)
     }
 
-    /// Time has passed.
+    /// Does what is due at this time.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.links.write_due(now, out);
         self.pool.tick(now, out);
