--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -1,4 +1,4 @@
-//! What goes to the core, and what it decides, carried out.
+//! Passes inputs to the core and carries out the effects that it returns.
 
 use super::viewers::FinalAnswer;
 use super::{Node, name_at};
@@ -10,7 +10,8 @@
 use crate::platform::viewer;
 
 impl Node {
-    /// A request goes to the core, unless the operator's script refuses it.
+    /// Passes a request to the core, unless this process turns it away or the rules or the operator's script
+    /// refuse it.
     pub(super) fn submit_request(
         &mut self,
         now: Micros,
@@ -25,7 +26,8 @@
             tracer.asked(now, &request, class, name_at(&self.names.tenants, request.tenant));
         }
         if self.phase.turns_away(now) {
-            // Nothing of it was sent on, and this process ends or drains: another one takes it.
+            // Nothing was sent to a server, and this process ends or drains: another process can take the
+            // request.
             return self.apply_effect(now, Effect::Refused(request.id, Micros(0)), out);
         }
         if let Err(wait) = self.check_rate_limit(now, &request) {
@@ -46,7 +48,7 @@
         self.handle_input(now, Input::Request(request, offer), out);
     }
 
-    /// An error of the script is logged, and the broker goes on without it.
+    /// Logs an error of the operator's script and disables the script; the broker goes on without it.
     pub(super) fn disable_failed_hook<T>(&mut self, result: Result<T, HookError>) -> Option<T> {
         match result {
             Ok(value) => Some(value),
@@ -58,6 +60,7 @@
         }
     }
 
+    /// Reports the outcome of a request to the operator's script.
     pub(super) fn report_outcome(&mut self, effect: &Effect) {
         let Some(hook) = &mut self.hook else { return };
         let (id, outcome) = match effect {
@@ -72,6 +75,7 @@
         self.disable_failed_hook(result);
     }
 
+    /// Passes an input to the core and carries out the effects.
     pub(super) fn handle_input(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
         if let Input::ClientLeft(id) = &input {
             self.metrics.left(*id);
@@ -86,6 +90,7 @@
         }
     }
 
+    /// Carries out one effect of the core.
     pub(super) fn apply_effect(&mut self, now: Micros, effect: Effect, out: &mut Vec<Command>) {
         self.report_outcome(&effect);
         if let Some(tracer) = &mut self.tracer {
@@ -154,7 +159,7 @@
                     }
                     None => {
                         self.metrics.answered(id, Outcome::Faulted);
-                        // What can't be passed on unchanged is not passed on.
+                        // A description that can't be passed on unchanged is not passed on.
                         self.send_final_answer(
                             now,
                             client_conn,
--- a/src/node/ending.rs
+++ b/src/node/ending.rs
@@ -1,46 +1,47 @@
-//! The end of a process: what it still does, and what it still waits for.
+//! The end of a process: what it still does, and the work that keeps it running.
 
 use super::Node;
 use crate::api::{Micros, ServerId, SessionId};
 use crate::broker::{Input, OpenRequest};
 use crate::platform::links::{Command, ConnId};
 
-/// How much of each kind keeps a process up.
+/// The remaining work that keeps a process running.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Remaining {
-    /// Requests that are owed an answer.
+    /// Requests without a final answer.
     pub unanswered: usize,
     /// Sessions that play.
     pub playing: usize,
-    /// Clients' connections of the platform's front.
+    /// Client connections of the platform's front.
     pub clients: usize,
-    /// Sessions at media servers whose end these have not heard yet.
+    /// Sessions whose end the media server has not acknowledged.
     pub unheard_ends: usize,
 }
 
-/// A request that keeps a process up.
+/// An unanswered request that keeps a process running.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnansweredRequest {
-    /// The request.
+    /// The id of the request.
     pub id: SessionId,
-    /// Name of its class.
+    /// The name of its class.
     pub class: String,
-    /// The connection of its client; none over HTTP.
+    /// The client connection; none for HTTP.
     pub conn: Option<ConnId>,
-    /// The server that an attempt is out at; none: it waits for one.
+    /// The server of the attempt in flight; none while the request waits for a server.
     pub server: Option<ServerId>,
-    /// When it is answered at the latest.
+    /// The time by which the request is answered at the latest.
     pub due: Micros,
 }
 
 impl Node {
-    /// The process ends: by then each request must have its answer.
+    /// Sets the time by which each request must have its answer, as the process ends.
     pub fn set_shutdown_deadline(&mut self, now: Micros, at: Micros, out: &mut Vec<Command>) {
         self.handle_input(now, Input::ShutdownDeadline(at), out);
     }
 
-    /// From now on tests fail and no HTTP connection is kept, so that clients go elsewhere. Turns at cold servers are
-    /// the next process's, which may have the same number and start at once.
+    /// Fails health checks and stops keeping HTTP connections from now on, so that clients go elsewhere.
+    /// Takes no more warm-up turns: they belong to the next process, which may have the same broker index and
+    /// start at once.
     pub fn stop(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.phase.end();
         self.handle_input(now, Input::WarmUpTurnsFrom(Micros::MAX), out);
@@ -49,25 +50,26 @@
         }
     }
 
-    /// The program ends: nothing may be left standing that nobody holds.
+    /// Releases all sessions, as the program exits and no process would hold them.
     pub fn shut_down(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.handle_input(now, Input::Shutdown, out);
         self.close_clients_when_stopping(out);
     }
 
-    /// What is still waited for.
+    /// Returns the remaining work.
     pub fn remaining(&self) -> Remaining {
         let (unanswered, playing) = self.open_counts();
         Remaining { unanswered, playing, clients: self.viewers.len(), unheard_ends: self.unheard_ends() }
     }
 
-    /// Requests that a connection takes with it if it ends now: those of its client, or set-ups that are out on it.
+    /// The number of requests that would fail if a connection ended now: requests of its client, or set-ups
+    /// sent on it.
     pub fn unanswered_on(&self, conn: ConnId) -> usize {
         let of_client = self.viewers.get(&conn).map(|client| client.unanswered.len());
         of_client.unwrap_or_else(|| self.links.set_ups_on(conn))
     }
 
-    /// The requests whose answers may come last, so many at most.
+    /// Returns at most `limit` unanswered requests, those with the latest deadlines.
     pub fn last_due(&self, limit: usize) -> Vec<UnansweredRequest> {
         let unanswered = |open: OpenRequest| UnansweredRequest {
             class: super::name_at(&self.names.classes, open.class).to_owned(),
