--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -1,5 +1,5 @@
-//! The hand-over of a broker from one process to the next, at either of them: sessions that stand are passed, and
-//! what is heard of them where they no longer are.
+//! The hand-over of a broker from one process to the next, on either side: established sessions are
+//! transferred, and messages about a transferred session are forwarded to the process that holds it.
 
 use super::{Node, name_at};
 use crate::api::*;
@@ -10,28 +10,28 @@
 use crate::platform::links::{Command, ServerMessage, release_status};
 
 impl Node {
-    /// This process asks another, or nobody, whether it may serve.
+    /// Marks this process as not serving until its predecessor, if there is one, has yielded.
     pub fn await_predecessor(&mut self) {
         self.phase.start();
     }
 
-    /// Sessions that memory allows at most.
+    /// The number of sessions that the memory allows.
     pub fn max_sessions(&self) -> usize {
         self.broker.most_sessions()
     }
 
-    /// It serves from now on.
+    /// Starts to serve.
     pub fn start_serving(&mut self) {
         self.phase.serve();
     }
 
-    /// It may take turns at cold servers that begin from now on.
+    /// Takes the warm-up turns at servers that begin from now on.
     pub fn take_warm_up_turns(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.handle_input(now, Input::WarmUpTurnsFrom(now), out);
     }
 
-    /// Another process serves from now on: no turn at cold servers is taken any more, what stands is passed, and
-    /// clients' connections are let go.
+    /// Yields to the next process: takes no more warm-up turns, hands over the established sessions, and
+    /// closes client connections.
     pub fn yield_to_successor(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.phase.yields();
         self.next_drain_check = now;
@@ -42,9 +42,10 @@
         }
     }
 
-    /// The other process is gone: this one serves again. Sessions that were passed play on and are named again by
-    /// their clients. A turn at a cold server that began before may have been the other's; those that begin from now on
-    /// are this process's, also if it was told to end: whoever comes next asks it at the meeting point first.
+    /// Serves again after the other process has exited. Sessions that were handed over play on, and their
+    /// clients name them again. A warm-up turn that began earlier may belong to the other process. Turns that
+    /// begin from now on belong to this one, even if it was told to end: the next process asks it at the
+    /// meeting point before it serves.
     pub fn resume_serving(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.phase.resumes();
         self.next_drain_check = self.phase.lets_go_from().unwrap_or(Micros::MAX);
@@ -52,9 +53,9 @@
         self.handle_input(now, Input::WarmUpTurnsFrom(now), out);
     }
 
-    /// Passes a session that stands to the process that serves now.
+    /// Transfers an established session to the process that serves now.
     pub(super) fn hand_over_session(&mut self, now: Micros, id: SessionId, out: &mut Vec<Command>) {
-        // Those of the HTTP front stay: their clients know an address of this process.
+        // Sessions of the HTTP front stay: their clients know an address of this process.
         if self.is_whip_session(id) {
             return;
         }
@@ -68,13 +69,13 @@
         self.handle_input(now, Input::HandedOver(id), out);
     }
 
-    /// Takes a session that another process held.
+    /// Takes over a session from another process.
     pub fn adopt_session(&mut self, now: Micros, transfer: &SessionTransfer, out: &mut Vec<Command>) {
         let class = self.names.class(&transfer.class);
         let tenant = self.names.tenant(&transfer.tenant).unwrap_or(0);
         let (id, server) = (SessionId(transfer.id), ServerId::new(&transfer.server));
         let Some(class) = class else {
-            // This process has no such class: its client hears that it is over, and comes again.
+            // This process has no such class. The client is told that the session is over, and asks again.
             self.links.release(now, id, &server, out);
             return self.apply_effect(now, Effect::Ended(id, Status::Reset), out);
         };
@@ -86,17 +87,17 @@
                 out,
             );
         }
-        // The next version serves already: it goes on to that.
+        // A newer process serves already: the session goes on to that one.
         if self.phase.yielded() {
             return self.hand_over_session(now, id, out);
         }
         let before = out.len();
-        // A server that drains may turn new connections down though its sessions play.
+        // A draining server may refuse new connections while its sessions play.
         self.links.ensure_connected_after_handover(now, &server, out);
         self.trace_dials(now, &server, "notes", &out[before..]);
     }
 
-    /// What the other process heard of a session that is here now.
+    /// Handles a message of the other process about a session that is held here now.
     pub fn handle_forwarded(&mut self, now: Micros, message: &Message, out: &mut Vec<Command>) {
         if let Message::Over { id, .. } | Message::Noted { id, .. } = message
             && self.handed_over.contains_key(&SessionId(*id))
@@ -120,7 +121,7 @@
         }
     }
 
-    /// A client left a session, as the other process heard.
+    /// Handles the report of the other process that a client has left a session.
     pub fn client_left_at_peer(&mut self, now: Micros, id: u64, out: &mut Vec<Command>) {
         let id = SessionId(id);
         if self.broker.knows(id) {
@@ -129,8 +130,9 @@
         }
     }
 
-    /// Whether a client waits here for an answer, or has a connection that it may ask on; or a server that drains
-    /// can tell of what it still plays nowhere else, as it turns new connections down.
+    /// Whether this process is still needed: a client waits for an answer or has an open connection, a write
+    /// to a server is queued, or a draining server with sessions that were handed over is connected here.
+    /// Such a server refuses new connections, so this is the only way for its messages.
     pub fn has_waiting_clients(&self) -> bool {
         self.broker.unanswered() > 0
             || !self.viewers.is_empty()
@@ -142,21 +144,23 @@
             || self.whip.as_ref().is_some_and(|whip| !whip.idle())
     }
 
+    /// Whether the server list has a server as draining.
     fn is_draining(&self, server: &ServerId) -> bool {
         self.servers.get(server).is_some_and(|(state, _)| *state == ServerState::Draining)
     }
 
-    /// What the other process is to hear since the last call.
+    /// Returns the messages for the other process since the last call.
     pub fn take_messages(&mut self) -> Vec<Message> {
         std::mem::take(&mut self.messages)
     }
 
-    /// A client left a session that is not here: perhaps it is at the other process.
+    /// Tells the other process that a client left a session that is not held here, as the other process may
+    /// hold it.
     pub(super) fn forward_client_left(&mut self, id: SessionId) {
         self.messages.push(Message::Left { id: id.0 });
     }
 
-    /// Whether what a server says concerns a session that was passed; it is passed too then.
+    /// Forwards a server's message if its session was handed over. Returns whether it was.
     pub(super) fn forward_if_handed_over(&mut self, said: &ServerMessage) -> bool {
         let id = match said {
             ServerMessage::Release(id, ..) | ServerMessage::Note(id, _) => *id,
@@ -178,7 +182,7 @@
         true
     }
 
-    /// Word of a session that was passed goes where it went.
+    /// Queues a message about a handed-over session for the process that holds it.
     fn forward_message(&mut self, message: Message) {
         if let Message::Over { id, .. } = &message {
             self.handed_over.remove(&SessionId(*id));
--- a/src/node/leaving.rs
+++ b/src/node/leaving.rs
@@ -1,19 +1,20 @@
-//! The last look at a set-up before its bytes leave: who it is for, where it goes, and whether it is still wanted.
+//! The last check of a set-up before it is written: who waits for it, where it goes, and whether it is still
+//! wanted there.
 //!
-//! Between the decision and the write a connection may have to come up, the bytes may wait behind others, and the
-//! process may stand still. What was true at the decision need not be true any more.
+//! Between the decision and the write, a connection may have to be established, the bytes may wait in a
+//! queue, and the process may be suspended. What was true at the decision may be false by then.
 
 use super::Node;
 use crate::api::*;
 use crate::broker::Input;
 use crate::platform::links::{Command, ConnId};
 
-/// How much longer than a connection may take to come up a set-up may wait before it is decided anew: its turn at a
-/// cold server, and what was known of the server's load, are over by then.
+/// How much longer than the connect timeout a set-up may wait before the core decides again. By then its
+/// warm-up turn and the known load of the server are out of date.
 const SET_UP_WAIT_MARGIN: Micros = Micros(250_000);
 
 impl Node {
-    /// The connections of those that a request is asked on. They are heard out before an attempt of it leaves.
+    /// Returns the client connections that wait for a request. Their input is read before an attempt is sent.
     pub fn requesting_connections(&self, id: SessionId) -> Vec<ConnId> {
         match self.session_conns.get(&id) {
             Some(client_conn) => vec![*client_conn],
@@ -21,8 +22,8 @@
         }
     }
 
-    /// Whether a set-up may leave now on a server's connection. One that may not is taken back, and its attempt has
-    /// ended without having run.
+    /// Whether a set-up may be sent on a server connection now. One that may not is withdrawn, and its
+    /// attempt ends without having run.
     pub fn may_send_set_up(
         &mut self,
         now: Micros,
@@ -30,9 +31,10 @@
         id: SessionId,
         out: &mut Vec<Command>,
     ) -> bool {
-        // What is due by the clock comes first: an attempt whose time is over, a request whose client is gone.
+        // Timers run first: the attempt may have timed out, or the client may have gone.
         self.handle_input(now, Input::Tick, out);
-        // A paid set-up that is out runs to its end though its client has gone; one that is not out never begins.
+        // A paid set-up that was sent completes even if its client has gone; one that was not sent is
+        // dropped.
         self.with_whip(now, out, |whip, _, actions| {
             whip.deserted(now, id, actions);
         });
@@ -44,7 +46,7 @@
             return true;
         }
         if self.pool.has(conn) {
-            // The exchange is the only one on its connection, and ends with it unsent.
+            // The exchange is the only one on its connection, and ends unsent together with it.
             out.push(Command::Abort(conn, "withdrawn"));
             return false;
         }
