--- a/src/node/http.rs
+++ b/src/node/http.rs
@@ -1,4 +1,4 @@
-//! The WHIP and WHEP front: what it wishes is done here.
+//! The WHIP and WHEP front: carries out the actions that it asks for.
 
 use super::Node;
 use crate::api::*;
@@ -7,7 +7,7 @@
 use crate::whip::{self, FrontAction};
 
 impl Node {
-    /// Lets the WHIP front do something, then does what it wishes.
+    /// Calls the WHIP front, then carries out the actions that it returned.
     pub(super) fn with_whip(
         &mut self,
         now: Micros,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A fragment of trickle ICE goes to the session's server, if that takes any.
+    /// Passes a trickle ICE fragment to the server of the session, if that server accepts any.
     pub(super) fn forward_patch(
         &mut self,
         now: Micros,
@@ -52,6 +52,7 @@
         }
     }
 
+    /// Whether a session belongs to the WHIP front.
     pub(super) fn is_whip_session(&self, id: SessionId) -> bool {
         self.whip.as_ref().is_some_and(|whip| whip.owns(id))
     }
--- a/src/node/operate.rs
+++ b/src/node/operate.rs
@@ -1,4 +1,4 @@
-//! What staff call for at the second address, and clients' connections that a broker lets go.
+//! Calls on the operators' console, and the closing of client connections while the broker drains or ends.
 
 use std::collections::BTreeSet;
 
@@ -9,11 +9,11 @@
 use crate::operate::figures::Gauges;
 use crate::platform::links::{Command, ConnId};
 
-/// Time between looks at clients' connections while they are let go.
+/// Time between checks for client connections to close during a drain.
 const DRAIN_CHECK_INTERVAL: Micros = Micros(25_000);
 
 impl Node {
-    /// Answers a call, or what is none.
+    /// Answers a console call, or an invalid one.
     pub fn call(&mut self, now: Micros, call: Result<Call, BadCall>) -> String {
         let answer = match call {
             Ok(Call::Check) => match self.phase.unready(now) {
@@ -42,10 +42,10 @@
         answer.encode()
     }
 
-    /// The figures as they are now.
+    /// Returns the current metrics as text.
     fn read_metrics(&mut self, now: Micros) -> String {
         self.metrics.classes(&self.names.classes);
-        // A session that plays is a request that has not ended.
+        // A playing session counts as an open request, as it has not ended.
         let remaining = self.remaining();
         let gauges = Gauges {
             open_requests: remaining.unanswered + remaining.playing,
@@ -58,7 +58,8 @@
         self.metrics.lines(gauges)
     }
 
-    /// What is marked by these sessions was written whole: attempts on a connection to a server, answers on a client's.
+    /// Records that everything marked with these sessions was written: attempts on a server connection,
+    /// answers on a client connection.
     pub fn record_fully_written(&mut self, now: Micros, conn: ConnId, marked: &[SessionId]) {
         if self.links.has(conn) || self.pool.has(conn) {
             marked.iter().for_each(|id| self.metrics.relayed(*id));
@@ -67,18 +68,19 @@
         }
     }
 
-    /// A new configuration was taken in, or turned down.
+    /// Records that a new configuration was accepted or rejected.
     pub fn record_reload(&mut self, taken: bool) {
         self.metrics.file(taken);
     }
 
-    /// A list is to come from some source: see [`crate::operate::phase::Phase::awaits_list`].
+    /// Waits for a server list that a source is expected to deliver: see
+    /// [`crate::operate::phase::Phase::awaits_list`].
     pub fn await_list(&mut self, now: Micros) {
         self.phase.awaits_list(now);
     }
 
-    /// All that was taken is answered and the process ends: from now on what comes is turned away at once, and all
-    /// clients' connections are let go.
+    /// Refuses every new request from now on and closes the client connections, as all accepted requests are
+    /// answered and the process ends.
     pub fn start_refusing(&mut self, out: &mut Vec<Command>) {
         self.phase.close();
         self.close_clients_when_stopping(out);
@@ -90,8 +92,8 @@
         }
     }
 
-    /// Once the doors are closed and nothing plays whose end is still to be told, lets every connection go on which no
-    /// answer is owed.
+    /// Closes every client connection without unanswered requests, once the process refuses requests and no
+    /// session plays whose end has to be sent.
     pub(super) fn close_clients_when_stopping(&mut self, out: &mut Vec<Command>) {
         if !self.phase.closed() || self.broker.established() > 0 {
             return;
@@ -102,7 +104,8 @@
         }
     }
 
-    /// Lets clients' connections go that the phase has no use for. What stands on none of them plays on.
+    /// Closes client connections that the current phase does not need. Connections that hold a session stay
+    /// open.
     pub(super) fn close_unneeded_clients(&mut self, now: Micros, out: &mut Vec<Command>) {
         if now < self.next_drain_check {
             return;
@@ -115,7 +118,8 @@
         });
     }
 
-    /// Ends clients' connections that there is a reason to end; those that a session was set up on stay.
+    /// Closes client connections for which `why` gives a reason. Connections that a session was set up on
+    /// stay open.
     pub(super) fn close_clients_where(
         &mut self,
         out: &mut Vec<Command>,
