--- a/src/node/ruled.rs
+++ b/src/node/ruled.rs
@@ -1,5 +1,5 @@
-//! The rules that the brokers agree on, at one of them: limits are looked at for each request, and barred servers get
-//! nothing new, whatever lists say.
+//! The rules that the brokers agree on, as one broker applies them: rate limits are checked for each request,
+//! and barred servers get no new sessions, whatever the server lists say.
 
 use std::collections::BTreeMap;
 
@@ -12,34 +12,38 @@
 use crate::rules::gate::RateLimiter;
 use crate::rules::standing::{LocalRules, RateDecision, RulesFreshness};
 
-/// What a node knows of its rules.
+/// The rules as this node applies them.
 #[derive(Default)]
 pub(super) struct NodeRules {
+    /// The rules in force at this process.
     local: LocalRules,
+    /// Counts requests against the rate limits.
     limiter: RateLimiter,
+    /// The current time of the clock on which rules are valid.
     boot_time: BootTime,
-    /// Barred servers, as the lists have them.
+    /// Barred servers, as they are in the server list.
     barred: BTreeMap<ServerId, ServerEntry>,
 }
 
 impl Node {
-    /// Whether there are rules to go by.
+    /// Whether there are rules.
     pub fn has_rules(&self) -> bool {
         self.rules.is_some()
     }
 
-    /// The moment on the clock by which rules count, as it is now.
+    /// Sets the current time of the clock on which rules are valid.
     pub fn set_boot_time(&mut self, boot_time: BootTime) {
         if let Some(rules) = &mut self.rules {
             rules.boot_time = boot_time;
         }
     }
 
-    /// What this broker acts on from now on.
+    /// Replaces the rules that this broker applies.
     pub fn set_rules(&mut self, now: Micros, local: LocalRules, out: &mut Vec<Command>) {
         let rules = self.rules.get_or_insert_with(NodeRules::default);
         let before = std::mem::replace(&mut rules.local, local).versions();
-        // Each answer to a beat comes by here; who is barred changes with the versions alone.
+        // Every heartbeat reply leads here, but the set of barred servers changes only with the rule
+        // versions.
         if rules.local.versions() == before {
             return;
         }
@@ -61,7 +65,7 @@
         }
     }
 
-    /// Entries of a list as the rules let them be.
+    /// Applies the rules to the entries of a server list.
     pub(super) fn apply_barred(&mut self, servers: Vec<ServerEntry>) -> Vec<ServerEntry> {
         let Some(rules) = &mut self.rules else { return servers };
         let mut allowed = Vec::with_capacity(servers.len());
@@ -77,14 +81,14 @@
         allowed
     }
 
-    /// Whether a request is let through, or how long it is to wait.
+    /// Checks the rate limit for a request. Returns the time to wait if it is refused.
     pub(super) fn check_rate_limit(&mut self, now: Micros, request: &Request) -> Result<(), Micros> {
         let Some(rules) = &mut self.rules else { return Ok(()) };
         let tenant = name_at(&self.names.tenants, request.tenant);
         let class = name_at(&self.names.classes, request.class);
         let decision = rules.local.ruling(rules.boot_time, tenant, class);
         if cfg!(feature = "trials") {
-            // By the clock that all processes of a trial share.
+            // Uses the clock that all processes of a trial share.
             let at = (rules.boot_time.0 as f64 / faults::injected_value("clock-rate").unwrap_or(1.0)) as u64;
             let log_line = |state: &str, version: u64| {
                 let per_s = match decision {
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -1,4 +1,4 @@
-//! Edge servers and media servers: the list of them, their connections, and what they tell.
+//! Edge servers and media servers: the server list, their connections, and their messages.
 
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 use crate::roster::ListUpdate;
 
 impl Node {
-    /// Tells of the connections to a server that are among fresh commands.
+    /// Traces each connection to a server that these commands open.
     pub(super) fn trace_dials(&mut self, now: Micros, server: &ServerId, why: &str, commands: &[Command]) {
         if let Some(tracer) = &mut self.tracer {
             let dials = commands.iter().filter(|c| matches!(c, Command::Dial(..)));
@@ -18,9 +18,10 @@
         }
     }
 
-    /// Servers with sessions must be heard of: one that is silent is tried, and each needs a way for its notes.
+    /// Checks the servers that hold sessions: those that are silent, and those without a connection, as their
+    /// notes need one.
     pub(super) fn check_silent_servers(&mut self, now: Micros, out: &mut Vec<Command>) {
-        // Those that speak WHIP or WHEP have no connection of their own to be heard on.
+        // Servers that speak WHIP or WHEP have no permanent connection that could be silent.
         let platform_servers = self.servers.keys().filter(|s| !self.pool.serves(s));
         let busy: Vec<ServerId> =
             platform_servers.filter(|s| self.broker.has_established_at(s)).cloned().collect();
@@ -33,13 +34,13 @@
         }
     }
 
-    /// Descriptors are short: a connection to a server where nothing plays makes room.
+    /// Closes a connection to a server without sessions when descriptors are short.
     pub fn close_idle_link(&mut self, out: &mut Vec<Command>) {
         let broker = &self.broker;
         self.links.close_idle(|server| broker.has_established_at(server), out);
     }
 
-    /// Finds out by one more connection whether a server is lost.
+    /// Opens another connection to find out whether a server is lost.
     pub(super) fn check_server(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) {
         let before = out.len();
         let has_address = self.links.check_server(now, server, out);
@@ -49,7 +50,7 @@
         }
     }
 
-    /// News of the list of servers.
+    /// Applies an update of the server list.
     pub fn update_server_list(&mut self, now: Micros, update: ListUpdate, out: &mut Vec<Command>) {
         if !update.servers.is_empty() {
             self.phase.listed();
@@ -80,8 +81,8 @@
                     lost.extend(self.links.listed(id, listed.address, state, out));
                 }
             }
-            // One that is gone, or has started anew, holds nothing of what stood there before. It need not have
-            // reset its connections: they may stay open and silent.
+            // A server that is gone or has restarted no longer holds its earlier sessions. It may not have
+            // reset its connections, which can stay open and silent.
             let before = self.servers.insert(id.clone(), (state, up));
             if state == ServerState::Gone {
                 self.servers.remove(id);
@@ -105,7 +106,7 @@
         self.handle_input(now, Input::Servers { kind: update.kind, servers }, out);
     }
 
-    /// What servers that speak WHIP or WHEP tell.
+    /// Handles events of servers that speak WHIP or WHEP.
     pub(super) fn handle_pool_events(&mut self, now: Micros, events: Vec<PoolEvent>, out: &mut Vec<Command>) {
         for event in events {
             match event {
@@ -119,7 +120,7 @@
                     self.handle_input(now, Input::Note { id, server, note }, out)
                 }
                 PoolEvent::Refused(server) => {
-                    // One that drains may turn connections down while its sessions play.
+                    // A draining server may refuse connections while its sessions play.
                     let ready = self.servers.get(&server).is_some_and(|(s, _)| *s == ServerState::Ready);
                     if ready && self.broker.has_established_at(&server) {
                         self.pool.lost(now, &server, true, out);
@@ -137,11 +138,12 @@
         }
     }
 
-    /// Ends that servers have not heard yet.
+    /// The number of session ends that media servers have not acknowledged.
     pub fn unheard_ends(&self) -> usize {
         self.pool.ending()
     }
 
+    /// Handles a message of an edge server.
     pub(super) fn handle_server_message(
         &mut self,
         now: Micros,
@@ -164,7 +166,8 @@
         self.handle_input(now, input, out);
     }
 
-    /// Gives an attempt up. Media servers that speak WHIP know no such word: what they answer late is ended then.
+    /// Gives up an attempt. WHIP has no message for that, so a media server's late answer is ended when it
+    /// arrives.
     pub(super) fn give_up_attempt(
         &mut self,
         now: Micros,
@@ -183,6 +186,7 @@
         }
     }
 
+    /// Sends a set-up to its server.
     pub(super) fn send_set_up(&mut self, now: Micros, set_up: &SetUp, out: &mut Vec<Command>) {
         let class = self.names.classes.get(set_up.class).cloned().unwrap_or_default();
         if let Some(tracer) = &mut self.tracer {
