--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -1,4 +1,4 @@
-//! A new configuration under sessions that wait and play.
+//! Reloads the configuration while requests wait and sessions play.
 
 use super::Node;
 use crate::api::Micros;
@@ -12,8 +12,8 @@
 use crate::watch::judge::Role;
 
 impl Node {
-    /// Takes a new configuration in: settings, the front and the script. What waits or plays goes on as it was taken.
-    /// Gives the fields that wait for the next start.
+    /// Applies the settings, the front and the script of a new configuration. Waiting requests and playing
+    /// sessions go on as they were accepted. Returns the fields that take effect only after a restart.
     pub fn reload(&mut self, now: Micros, config: &Config, out: &mut Vec<Command>) -> Vec<&'static str> {
         let titles = self.whip.iter().flat_map(|whip| whip.titles().values().map(|t| (t.class, t.tenant)));
         let titles: Vec<(usize, usize)> = titles.collect();
@@ -32,13 +32,13 @@
         waits
     }
 
-    /// How the settings in use name things.
+    /// Returns the names that the settings in use define.
     pub fn names(&self) -> &SettingNames {
         &self.names
     }
 
-    /// Takes in what a new configuration says of the front and the script; what waits or plays is untouched.
-    /// Titles and a script that are watched stay as their files have them.
+    /// Applies the front and the script of a new configuration; waiting requests and playing sessions are
+    /// unaffected. Watched titles and a watched script stay as their files have them.
     fn reload_front(&mut self, config: &Config, merged: &Merged) {
         let watch = config.watch.as_ref();
         if watch.is_none_or(|w| w.script.is_none()) {
--- a/src/node/viewer_conn.rs
+++ b/src/node/viewer_conn.rs
@@ -1,43 +1,46 @@
-//! One connection of the platform's viewers: what waits there, and when it is overdue.
+//! One connection of a platform viewer: its unanswered set-ups, and when it is overdue.
 
 use std::collections::BTreeSet;
 
 use crate::api::{Micros, SessionId};
 use crate::platform::viewer::ViewerDecoder;
 
-/// A viewer's connection that has said nothing whole for so long after it was accepted is closed, and one that
-/// leaves a message unfinished for so long: the platform's clients connect when they have something to ask.
+/// A viewer connection is closed if it sent no complete message for this time after it was accepted, or left
+/// a message incomplete for this time. The platform's clients connect only when they have something to ask.
 const SILENCE_TIMEOUT: Micros = Micros(2_000_000);
-/// A connection that no set-up waits on and no session was set up on is closed after so long. Clients let such a
-/// one go after 4 s themselves; one that asked for what has no answer is owed a close within 3 s.
+/// A connection without unanswered set-ups and without a session is closed after this time. Clients close
+/// such a connection themselves after 4 s; one that sent only messages without an answer must be closed
+/// within 3 s.
 const IDLE_TIMEOUT: Micros = Micros(2_250_000);
 
-/// Why a connection ends on which a message was begun and not ended: what may still come of it keeps no connection.
+/// Reason for closing a connection with an incomplete message. The rest of the message may still arrive, but
+/// does not keep the connection open.
 pub(super) const UNFINISHED_REASON: &str = "unfinished";
 
-/// What is known of it.
+/// The state of a viewer connection.
 #[derive(Default)]
 pub(super) struct ViewerConn {
+    /// Decodes its messages.
     pub(super) decoder: ViewerDecoder,
-    /// Set-ups of this connection that are owed an answer.
+    /// Set-ups of this connection without a final answer.
     pub(super) unanswered: BTreeSet<SessionId>,
-    /// When it last said something whole, or was answered.
+    /// When it last sent a complete message or was answered.
     pub(super) last_used: Micros,
-    /// When the message began that is not whole yet.
+    /// When the incomplete message began, if there is one.
     pub(super) partial_since: Option<Micros>,
-    /// It has said something whole.
+    /// Whether it has sent a complete message.
     pub(super) has_spoken: bool,
-    /// It has said more than tests: it is a viewer's.
+    /// Whether it has sent anything but pings, so that it belongs to a viewer.
     pub(super) is_viewer: bool,
-    /// It has used the id of a session that is held already: it ends once all it waits for is answered, as an
-    /// answer of its own to the second set-up could be taken for that of the first.
+    /// Whether it has used the id of a session that exists. It is closed once all its set-ups are answered,
+    /// as an answer to the second set-up could be taken for the answer to the first.
     pub(super) has_reused_id: bool,
-    /// It is being closed: what it still says is not heard.
+    /// Whether it is being closed; further input is ignored.
     pub(super) is_closing: bool,
 }
 
 impl ViewerConn {
-    /// Why it is to be closed, if it is.
+    /// Returns the reason to close it, if there is one.
     pub(super) fn overdue(&self, now: Micros) -> Option<&'static str> {
         if self.is_closing || !self.unanswered.is_empty() {
             None
--- a/src/node/viewers.rs
+++ b/src/node/viewers.rs
@@ -1,4 +1,4 @@
-//! The platform's viewers: their connections, what they say, and the lines that go back to them.
+//! The platform's viewers: their messages, and the lines sent back to them.
 
 use super::{Node, name_at};
 use crate::api::*;
@@ -9,28 +9,31 @@
 use crate::platform::links::{Command, ConnId};
 use crate::platform::viewer::{self, ViewerMessage};
 
-/// How long a release waits for a connection that it could go out on: as long as a drain may take, in which clients
-/// have none here. Late is better than never, as its client goes by it that the session plays.
+/// How long a session end waits for a connection to send it on: as long as a drain may take, during which
+/// clients have no connection here. A late end is better than none, as the client takes the session for
+/// playing until then.
 const PENDING_END_LIFETIME: Micros = Micros(60_000_000);
-/// The part of the memory that they may take, and what each takes, roughly: as many may wait as sessions may be held,
-/// as all of them may end while their clients have no connection here.
+/// Share of the memory for waiting session ends. There may be as many as sessions, as all sessions may end
+/// while their clients have no connection here.
 const PENDING_ENDS_MEMORY_DIVISOR: usize = 16;
+/// Approximate memory of one waiting session end.
 const PENDING_END_BYTES: usize = 256;
 
-/// How many releases may wait for a connection, where there is so much memory.
+/// Returns the number of session ends that may wait for a connection, for this amount of memory.
 pub(super) fn max_pending_ends(memory: usize) -> usize {
     memory / PENDING_ENDS_MEMORY_DIVISOR / PENDING_END_BYTES
 }
 
 /// The final answer to a set-up.
 pub(super) enum FinalAnswer {
-    /// The session stands.
+    /// The session is established.
     Established(Line),
-    /// It was refused, or it failed.
+    /// The set-up was refused or failed.
     NotServed(Line),
 }
 
 impl Node {
+    /// Handles a message of a viewer.
     pub(super) fn handle_viewer_message(
         &mut self,
         now: Micros,
@@ -87,7 +90,7 @@
         }
     }
 
-    /// A connection that was to be let go stays: its client has said something.
+    /// Keeps a connection open that was about to be closed, as its client has sent something.
     pub fn keep_open(&mut self, now: Micros, conn: ConnId) {
         if let Some(c) = self.viewers.get_mut(&conn) {
             (c.is_closing, c.last_used) = (false, now);
@@ -97,8 +100,8 @@
         }
     }
 
-    /// What waited for a connection goes out on one that has proved to be a viewer's: who only tests hears of no
-    /// sessions (seen on a day with a drain, when the front's tests were the only connections).
+    /// Sends the waiting session ends on a connection that has proved to be a viewer's. A health checker's
+    /// connection gets none: during a drain, the front's checks were once the only connections.
     fn send_pending_ends(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
         if let Some(c) = self.viewers.get_mut(&conn) {
             c.is_viewer = true;
@@ -110,8 +113,9 @@
         }
     }
 
-    /// A set-up under an id that is in use. The first keeps its single answer; the sender of the second is told by
-    /// a failure, or by a close where a line with that id could mean the first.
+    /// Handles a set-up with an id that is in use. The first set-up keeps its single answer. The second is
+    /// answered by a failure, or by closing the connection where a line with that id could be taken for the
+    /// answer to the first.
     pub(super) fn reject_reused_id(
         &mut self,
         now: Micros,
@@ -129,7 +133,7 @@
         }
     }
 
-    /// A set-up's final answer.
+    /// Sends the final answer to a set-up.
     pub(super) fn send_final_answer(
         &mut self,
         now: Micros,
@@ -142,7 +146,7 @@
         if let Some(tracer) = &mut self.tracer {
             tracer.replied(now, id, client_conn);
         }
-        // A session that stands is marked: it ends if its client can't be told of it.
+        // The answer of an established session is marked: the session ends if its client can't be told of it.
         let (line, mark) = match answer {
             FinalAnswer::Established(line) => (line, Some(id)),
             FinalAnswer::NotServed(line) => (line, None),
@@ -156,6 +160,7 @@
         }
     }
 
+    /// Closes a connection that has reused an id, once all its set-ups are answered.
     pub(super) fn close_after_reused_id(&mut self, conn: ConnId, out: &mut Vec<Command>) {
         if let Some(c) = self
             .viewers
@@ -167,7 +172,7 @@
         }
     }
 
-    /// The answer to a request goes out on its connection.
+    /// Marks a request as answered and returns the connection that its answer goes out on.
     pub(super) fn settle_request(&mut self, now: Micros, id: SessionId) -> Option<ConnId> {
         let client_conn = self.session_conns.get(&id).copied();
         if let Some(c) = client_conn.and_then(|client_conn| self.viewers.get_mut(&client_conn)) {
@@ -177,6 +182,7 @@
         client_conn
     }
 
+    /// Drops a session from its connection.
     pub(super) fn forget_session(&mut self, id: SessionId) {
         if let Some(client_conn) = self.session_conns.remove(&id)
             && let Some(c) = self.viewers.get_mut(&client_conn)
@@ -185,6 +191,7 @@
         }
     }
 
+    /// Writes a line on a viewer connection, if it is still open.
     pub(super) fn write_line(
         &mut self,
         _now: Micros,
@@ -195,6 +202,7 @@
         self.write_marked_line(conn, line, None, out);
     }
 
+    /// Writes a line. The driver reports whether a line marked with a session was fully written.
     fn write_marked_line(
         &mut self,
         conn: Option<ConnId>,
@@ -207,7 +215,8 @@
         }
     }
 
-    /// A session that stands belongs to no connection: its end goes out on its own, on any, or on the next.
+    /// Sends the end of an established session. It belongs to no connection: its end goes out on its own
+    /// connection, any other, or the next one.
     pub(super) fn send_session_end(
         &mut self,
         now: Micros,
@@ -220,6 +229,7 @@
         }
     }
 
+    /// Writes a session end on a suitable viewer connection, or queues it until there is one.
     fn route_session_end(
         &mut self,
         now: Micros,
@@ -227,7 +237,7 @@
         bytes: Vec<u8>,
         out: &mut Vec<Command>,
     ) {
-        // What is written behind the end of a connection reaches nobody.
+        // What is written on a closing connection reaches nobody.
         let is_usable = |conn: &ConnId| self.viewers.get(conn).is_some_and(|c| !c.is_closing && c.is_viewer);
         match client_conn.filter(is_usable).or_else(|| self.viewers.keys().rev().copied().find(is_usable)) {
             Some(conn) => out.push(Command::WriteSessionEnd(conn, bytes)),
@@ -238,7 +248,8 @@
         }
     }
 
-    /// Ends of sessions that were not written whole when their connection ended: they go out on another, or on the next.
+    /// Sends session ends again that were not fully written when their connection ended: on another
+    /// connection, or on the next one.
     pub fn requeue_session_ends(&mut self, now: Micros, ends: Vec<Vec<u8>>, out: &mut Vec<Command>) {
         for bytes in ends {
             self.route_session_end(now, None, bytes, out);
