--- a/src/platform/links.rs
+++ b/src/platform/links.rs
@@ -1,4 +1,5 @@
-//! Connections to edge servers: few for each, many sessions on one. Sessions that stand belong to none of them.
+//! Connections to edge servers: a few for each server, shared by many sessions. An established session is not
+//! tied to a connection.
 
 mod ends;
 mod link;
@@ -16,34 +17,36 @@
 pub use withdrawal::Withdrawal;
 pub use words::{Command, ConnectionEnd, LostConnection, ServerMessage, ServerStatus};
 
-/// A connection, counted from the start of the program.
+/// The id of a connection, counted from the start of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
 /// All connections to edge servers.
 #[derive(Debug)]
 pub struct Links {
+    /// The address of each listed server.
     addresses: BTreeMap<ServerId, SocketAddr>,
-    /// The same the other way round: no two servers are at one address.
+    /// The reverse of `addresses`: no two servers share an address.
     server_at: BTreeMap<SocketAddr, ServerId>,
     links: BTreeMap<ConnId, Link>,
-    /// When a server was last heard of, or found to accept a connection.
+    /// When each server last sent something or accepted a connection.
     last_alive: BTreeMap<ServerId, Micros>,
     /// Servers that reset a connection and have accepted none since.
     reset_servers: BTreeSet<ServerId>,
-    /// When a server was last checked.
+    /// When each server was last checked.
     last_checked: BTreeMap<ServerId, Micros>,
-    /// Sessions whose last attempt ended just now, and when.
+    /// Sessions whose last attempt has just ended, with the time of that.
     attempt_ended_at: BTreeMap<SessionId, Micros>,
-    /// Attempts that were given up and whose end is not written yet, with their connections.
+    /// Withdrawn attempts whose release has not been written yet, with their connections.
     withdrawals: BTreeMap<SessionId, ConnId>,
+    /// The connection id that was given out last.
     last_conn_id: u64,
     timings: Timings,
-    /// When the last note on a link's load came, of any server.
+    /// When the last note on a link's load arrived from any server.
     last_link_note: Micros,
 }
 
-/// What a set-up's or a session's release tells.
+/// Returns the status that a release reports, for a set-up or an established session.
 pub fn release_status(cause: u8, is_established: bool) -> Status {
     match (is_established, cause) {
         (true, cause::NORMAL) => Status::Completed,
@@ -56,7 +59,7 @@
 }
 
 impl Links {
-    /// No connections yet.
+    /// Creates an empty set of connections.
     pub fn new(timings: Timings) -> Links {
         let (addresses, server_at) = (BTreeMap::new(), BTreeMap::new());
         let (links, last_alive) = (BTreeMap::new(), BTreeMap::new());
@@ -79,10 +82,10 @@
         }
     }
 
-    /// Notes where a server listens. Gives the server that had the address before, which is lost: a new server
-    /// may have the address of one that has gone, and what is meant for the old one must not reach the new. For
-    /// the same reason a server that comes at another address is another one: it is given too, and its
-    /// connections are cut.
+    /// Sets the address of a server and returns the servers that are lost by this. A server that had the
+    /// address before is lost: an address may be reused, and what is meant for the old server must not reach
+    /// the new one. For the same reason a server at a new address counts as another server: it is returned
+    /// too, and its connections are aborted.
     pub fn listed(
         &mut self,
         server: &ServerId,
@@ -116,24 +119,24 @@
         lost
     }
 
-    /// A server has left the list.
+    /// Removes a server that has left the list.
     pub fn forget(&mut self, server: &ServerId) {
         if let Some(address) = self.addresses.remove(server) {
             self.server_at.remove(&address);
         }
     }
 
-    /// Whether a server is one of these.
+    /// Whether a server is one of the platform's edge servers.
     pub fn knows(&self, server: &ServerId) -> bool {
         self.addresses.contains_key(server)
     }
 
-    /// Whether it is one of these connections.
+    /// Whether a connection is one to an edge server.
     pub fn has(&self, conn: ConnId) -> bool {
         self.links.contains_key(&conn)
     }
 
-    /// Set-ups that are out on a connection, or wait for it.
+    /// The number of set-ups that were sent on a connection or wait for it.
     pub fn set_ups_on(&self, conn: ConnId) -> usize {
         self.links.get(&conn).map_or(0, |link| link.set_ups.len())
     }
@@ -148,12 +151,14 @@
         self.links.is_empty()
     }
 
-    /// Numbers for connections of other fronts come from here too.
+    /// Returns a new connection id. Other fronts number their connections here too.
     pub fn allocate_conn_id(&mut self) -> ConnId {
         self.last_conn_id += 1;
         ConnId(self.last_conn_id)
     }
 
+    /// Returns the connection to a server that new messages go out on. One that is about to reach the idle
+    /// timeout of the server carries nothing new.
     fn usable_link(&self, now: Micros, server: &ServerId) -> Option<ConnId> {
         let Timings { server_idle_timeout, idle_margin, .. } = self.timings;
         let is_usable = |l: &Link| {
@@ -172,6 +177,7 @@
             .map(|(id, _)| *id)
     }
 
+    /// Opens a connection to a server, unless its address is unknown.
     fn dial(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) -> Option<ConnId> {
         let address = *self.addresses.get(server)?;
         let conn = self.allocate_conn_id();
@@ -181,14 +187,14 @@
         Some(conn)
     }
 
-    /// Opens a connection where none is, so that a server's notes and releases have a way.
+    /// Opens a connection to a server that has none, to receive its notes and releases.
     pub fn ensure_connected(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) {
         if self.usable_link(now, server).is_none() {
             self.dial(now, server, out);
         }
     }
 
-    /// The same for a server with sessions that another process held: how long it was not heard of counts from now.
+    /// Does the same for a server with sessions taken over from another process: its silence counts from now.
     pub fn ensure_connected_after_handover(
         &mut self,
         now: Micros,
@@ -201,16 +207,18 @@
         self.ensure_connected(now, server, out);
     }
 
-    /// Other times of servers from now on: when they close idle connections, and how often and late they tell.
+    /// Replaces the time limits: when servers close idle connections, and how often and how late they send
+    /// notes.
     pub fn update_timings(&mut self, timings: Timings) {
         self.timings = timings;
     }
 
-    /// A connection has come up.
+    /// Handles a connection that has been established.
     pub fn opened(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
         let Some(link) = self.links.get_mut(&conn) else { return };
         (link.is_open, link.last_received) = (true, now);
-        // It leads to where the server was before: that it came up says nothing of the server now.
+        // The connection leads to the previous address of the server, so it says nothing about the server
+        // now.
         if link.is_broken {
             return;
         }
@@ -218,8 +226,8 @@
         let server = link.server.clone();
         self.last_alive.insert(server.clone(), now);
         self.reset_servers.remove(&server);
-        // The ones before it said nothing for too long, or are about to be closed. A release may be on its way on
-        // them and would not be written again: they are read to their end.
+        // Older connections were silent for too long or are about to be closed. A release may be in flight on
+        // them and is not sent again, so they are read to their end.
         for (id, old) in self.links.iter_mut().filter(|(id, l)| **id != conn && l.server == server) {
             if old.is_up() && old.set_ups.is_empty() {
                 old.is_retired = true;
@@ -228,8 +236,8 @@
         }
     }
 
-    /// Takes bytes of a connection in; gives what was heard. Behind what can't be read nothing more is, and the
-    /// connection ends.
+    /// Decodes bytes received on a connection and returns its server and messages. A malformed message ends
+    /// the connection, and nothing after it is read.
     pub fn bytes(
         &mut self,
         now: Micros,
--- a/src/platform/links/tests.rs
+++ b/src/platform/links/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use crate::api::Settings;
 
-/// Guards against sessions that stay at a machine that vanished: without notes of its own nothing else tells of it.
+/// Guards against sessions that are never ended at a machine that vanished: where servers send no notes, only
+/// the silence reveals it.
 #[test]
 fn silent_server_is_lost_when_servers_write_no_notes() {
     let (second, start) = (Micros(1_000_000), Micros(1_000_000_000));
