--- a/src/platform/links/ends.rs
+++ b/src/platform/links/ends.rs
@@ -1,4 +1,4 @@
-//! Ends of connections and silence, and what they tell of a server.
+//! Ended connections and silent servers: what they say about a server.
 
 use std::collections::BTreeSet;
 
@@ -7,18 +7,19 @@
 use crate::api::{Micros, ServerId, SessionId, Status};
 use crate::platform::timings::Timings;
 
-/// A message that stopped short for so long is not going on: servers write each in one piece.
+/// How long the rest of a message may take. Servers write each message in one piece, so a longer pause means
+/// that the rest will not come.
 const PARTIAL_MESSAGE_TIMEOUT: Micros = Micros(400_000);
 
-/// Time between checks of one server.
+/// Minimum time between checks of one server.
 const CHECK_INTERVAL: Micros = Micros(500_000);
 
-/// A server that turns connections down and was not heard of for so long is lost, whatever the list says: the
-/// clients of what stood there must be told within 8 s.
+/// A server that refuses connections and has been silent for this time is lost, whatever the list says:
+/// clients must be told of the end of its sessions within 8 s.
 const LOST_AFTER_SILENCE: Micros = Micros(7_000_000);
 
 impl Links {
-    /// A connection has ended.
+    /// Handles a connection that has ended.
     pub fn closed(&mut self, now: Micros, conn: ConnId, how: &ConnectionEnd) -> Option<LostConnection> {
         let link = self.links.remove(&conn)?;
         let queued = |id: SessionId| link.queue.iter().any(|queued| queued.set_up == Some(id));
@@ -29,7 +30,7 @@
             ConnectionEnd::Ended { unsent, .. } if unsent.contains(&id) || queued(id) => {
                 (id, Status::ConnectFailed)
             }
-            // Some of it may have reached the server: that proves nothing.
+            // Some bytes may have reached the server, so the attempt may have run.
             ConnectionEnd::Ended { .. } => (id, Status::Reset),
         };
         let ended_set_ups: Vec<(SessionId, Status)> = link.set_ups.keys().copied().map(ended).collect();
@@ -38,13 +39,13 @@
         let withdrawn = self.end_withdrawals_on(now, conn);
         let has_open_link = self.links.values().any(|l| l.server == link.server && l.is_up());
         let silence = self.silence(now, &link.server);
-        // A server that has nothing to say may answer the end of a connection that was left with a reset.
+        // An idle server may reset a connection that was closed from this side, which says nothing.
         if !link.is_retired && matches!(how, ConnectionEnd::Ended { reset: true, .. }) {
             self.reset_servers.insert(link.server.clone());
         }
         let server_status = match how {
-            // A server that drains turns new connections down while its sessions play on; only an older
-            // connection that was reset, or a long silence, tells it from one that has died.
+            // A draining server refuses new connections while its sessions play. Only an older connection
+            // that was reset, or a long silence, distinguishes it from a dead server.
             ConnectionEnd::Refused
                 if self.reset_servers.contains(&link.server) || silence >= LOST_AFTER_SILENCE =>
             {
@@ -62,9 +63,9 @@
         Some(LostConnection { server: link.server, ended_set_ups, withdrawn, server_status })
     }
 
-    /// Servers, of those given, that have been silent for too long. All write their notes at the same time: where
-    /// no other's came lately either, a missing one says nothing of its server, and a hundred brokers that try all
-    /// their servers at once are a burden.
+    /// Returns which of these servers have been silent for too long. All servers send their notes at the same
+    /// time. If no notes of other servers arrived lately either, a missing one says nothing about its server,
+    /// and many brokers (a hundred, say) that check all servers at once are a burden.
     pub fn silent_servers(&self, now: Micros, of: impl Iterator<Item = ServerId>) -> Vec<ServerId> {
         let Timings { load_note_interval, note_timeout, max_silence, .. } = self.timings;
         let longest = if now - self.last_link_note <= Micros(load_note_interval.0 / 2) {
@@ -76,18 +77,18 @@
         of.filter(too_long).collect()
     }
 
-    /// How long a server was not heard of.
+    /// How long a server has been silent.
     pub fn silence(&self, now: Micros, server: &ServerId) -> Micros {
         self.last_alive.get(server).map_or(Micros::MAX, |at| now - *at)
     }
 
-    /// Servers that connections are open to.
+    /// Returns the servers with an open connection.
     pub fn connected_servers(&self) -> BTreeSet<ServerId> {
         self.links.values().filter(|l| l.is_up()).map(|l| l.server.clone()).collect()
     }
 
-    /// Ends connections on which a message stopped short, as what is behind it would never be heard, and those to
-    /// servers that are gone; forgets what was known of these.
+    /// Aborts connections with a stalled message, as nothing after it can be read. Closes connections to
+    /// servers that are gone, and forgets the state of these servers.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Command>) {
         for (conn, link) in &mut self.links {
             if !link.is_broken && link.set_ups.is_empty() && !self.addresses.contains_key(&link.server) {
@@ -107,13 +108,14 @@
         self.attempt_ended_at.retain(|_, at| now - *at < ATTEMPT_GAP);
     }
 
-    /// Servers that anything is remembered of.
+    /// The number of servers with any state.
     pub fn tracked_entries(&self) -> usize {
         let listed = self.addresses.keys().chain(self.last_alive.keys()).chain(self.last_checked.keys());
         listed.chain(&self.reset_servers).collect::<BTreeSet<_>>().len()
     }
 
-    /// Opens one more connection, whose end tells whether the server is lost; false if it has no address left.
+    /// Opens another connection, whose end shows whether the server is lost. Returns false if the server has
+    /// no address.
     pub fn check_server(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) -> bool {
         let dialling = self.links.values().any(|l| l.server == *server && !l.is_open);
         let checked_lately = self.last_checked.get(server).is_some_and(|at| now - *at < CHECK_INTERVAL);
@@ -124,7 +126,7 @@
         self.dial(now, server, out).is_some()
     }
 
-    /// Whether a connection to a server is up.
+    /// Whether a connection to a server is open.
     pub fn is_connected_to(&self, server: &ServerId) -> bool {
         self.links.values().any(|l| l.server == *server && l.is_up())
     }
--- a/src/platform/links/withdrawal.rs
+++ b/src/platform/links/withdrawal.rs
@@ -1,5 +1,5 @@
-//! Attempts that are given up: one is out until the end of it is written, or until its connection is over. No other
-//! attempt of the same session leaves before.
+//! Withdrawn attempts. An attempt counts as running until its release is written or its connection has ended.
+//! No other attempt of the same session is sent before that.
 
 use super::{Command, ConnId, Links};
 use crate::api::{Micros, ServerId, SessionId};
@@ -7,21 +7,22 @@
 use crate::message::{Kind, cause};
 use crate::mutant::{self, Mutant};
 
-/// Time between the written end of one attempt and the next of the same session elsewhere. They travel on different
-/// connections, whose ways differ by some milliseconds.
+/// Time between the written release of an attempt and the next attempt of the same session at another server.
+/// The two travel on different connections, whose delays differ by some milliseconds.
 pub(super) const ATTEMPT_GAP: Micros = Micros(5_000);
 
-/// How far the end of an attempt has come.
+/// The state of a withdrawal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Withdrawal {
-    /// It is over: it never left, or its connection is gone.
+    /// The attempt has ended: it was never sent, or its connection is gone.
     Done,
-    /// [`Links::withdrawn`] tells when its end is written, [`Links::closed`] when its connection is over.
+    /// The attempt may still run. [`Links::withdrawn`] reports that its release was written,
+    /// [`Links::closed`] that its connection has ended.
     Pending,
 }
 
 impl Links {
-    /// Gives a set-up up. One that waits for its connection is taken back and never leaves.
+    /// Gives up a set-up. One that is still queued is removed and never sent.
     pub fn give_up(
         &mut self,
         now: Micros,
@@ -37,12 +38,13 @@
         if link.queue.len() < queued {
             return Withdrawal::Done;
         }
-        // Not a byte since: a fresh connection shall tell whether the server can be reached at all.
+        // Nothing was received since the set-up was written: a new connection shows whether the server can be
+        // reached at all.
         if written.is_some_and(|at| link.last_received < at) {
             link.is_suspect = true;
         }
-        // On the set-up's own connection, behind it: anywhere else it could come later than the next attempt
-        // elsewhere, and two would be out at once.
+        // The release goes out on the connection of the set-up, behind it. On any other connection it could
+        // arrive later than the next attempt at another server, and two attempts would run at once.
         let Ok(bytes) = Builder::new(Kind::Release, id).cause(cause::NORMAL).finish() else {
             return Withdrawal::Done;
         };
@@ -57,8 +59,8 @@
         Withdrawal::Pending
     }
 
-    /// The end of an attempt is written on its connection, or not a byte of the attempt ever was. Gives its server, if
-    /// that was waited for.
+    /// Handles a withdrawal: its release was written on the connection, or nothing of the attempt was ever
+    /// written. Returns the server if the withdrawal was pending.
     pub fn withdrawn(&mut self, now: Micros, conn: ConnId, id: SessionId) -> Option<ServerId> {
         let server = self.links.get(&conn)?.server.clone();
         if self.withdrawals.get(&id) != Some(&conn) {
@@ -69,7 +71,7 @@
         Some(server)
     }
 
-    /// An attempt is over: the next one of its session may leave a little later.
+    /// Records the end of an attempt. The next attempt of its session may be sent shortly afterwards.
     pub(super) fn attempt_ended(&mut self, now: Micros, id: SessionId) {
         self.attempt_ended_at.insert(id, now);
         let waiting = self.links.values_mut().flat_map(|link| &mut link.queue);
@@ -78,7 +80,7 @@
         }
     }
 
-    /// From when on a set-up of a session may leave.
+    /// Returns the earliest time at which a set-up of a session may be sent.
     pub(super) fn earliest_send(&self, id: SessionId) -> Micros {
         if self.withdrawals.contains_key(&id) {
             return Micros::MAX;
@@ -86,7 +88,7 @@
         self.attempt_ended_at.get(&id).map_or(Micros(0), |at| *at + ATTEMPT_GAP)
     }
 
-    /// A connection is over, and with it each attempt that was given up on it.
+    /// Ends all withdrawals on a connection that has ended, and returns their sessions.
     pub(super) fn end_withdrawals_on(&mut self, now: Micros, conn: ConnId) -> Vec<SessionId> {
         let of_conn = self.withdrawals.iter().filter(|(_, on)| **on == conn);
         let ids: Vec<SessionId> = of_conn.map(|(id, _)| *id).collect();
@@ -97,7 +99,7 @@
         ids
     }
 
-    /// Attempts whose end is not written yet.
+    /// The number of withdrawals whose release has not been written.
     pub fn pending_withdrawals(&self) -> usize {
         self.withdrawals.len()
     }
