--- a/src/platform/links/words.rs
+++ b/src/platform/links/words.rs
@@ -1,4 +1,4 @@
-//! What is asked of the driver of connections to edge servers, and what comes of them.
+//! Commands to the driver of connections, and what it and the edge servers report.
 
 use std::net::SocketAddr;
 
@@ -6,35 +6,36 @@
 use crate::api::{Load, Note, ServerId, SessionId, Status};
 use crate::broker::Description;
 
-/// What the driver is to do.
+/// A command to the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Open a connection.
+    /// Opens a connection.
     Dial(ConnId, SocketAddr),
-    /// Write bytes; a set-up's are marked by its session.
+    /// Writes bytes. Those of a set-up are marked with its session.
     Write(ConnId, Vec<u8>, Option<SessionId>),
-    /// Write the end of a session, which its client has to hear of: see [`crate::node::Node::requeue_session_ends`].
+    /// Writes the end of a session, which must not be lost: see [`crate::node::Node::requeue_session_ends`].
     WriteSessionEnd(ConnId, Vec<u8>),
-    /// Take a set-up back if not a byte of it was written; else write this behind it. Unless it is empty,
-    /// [`crate::node::Node::withdrawn`] is to be told once either is done.
+    /// Takes a set-up back if none of it was written; otherwise writes these bytes after it. Unless they are
+    /// empty, the driver calls [`crate::node::Node::withdrawn`] once either is done.
     Withdraw(ConnId, SessionId, Vec<u8>),
-    /// Write out what is queued, then close, leaving a log line with this reason.
+    /// Flushes the queue, then closes the connection. The reason is logged.
     Close(ConnId, &'static str),
-    /// Write out what is queued, then close, unless the client has said something that was not heard yet: then the
-    /// connection stays, see [`crate::node::Node::keep_open`].
+    /// Flushes the queue, then closes the connection, unless the client has sent something that was not read
+    /// yet. The connection then stays open: see [`crate::node::Node::keep_open`].
     CloseIfQuiet(ConnId, &'static str),
-    /// Write out what is queued, then only read until the server has closed too: what it wrote before is heard.
+    /// Flushes the queue, then reads until the server has closed the connection too, so that nothing it wrote
+    /// before is lost.
     LingeringClose(ConnId, &'static str),
-    /// Close at once: what is queued is not written any more.
+    /// Closes the connection at once and discards the queue.
     Abort(ConnId, &'static str),
 }
 
-/// What an edge server says.
+/// A message of an edge server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerMessage {
-    /// The session stands, with this description.
+    /// The session is established, with this description.
     Answer(SessionId, Description),
-    /// The attempt or the session is over.
+    /// The attempt or the session has ended, with this cause.
     Release(SessionId, u8, Load),
     /// A note on a session.
     Note(SessionId, Note),
@@ -43,45 +44,46 @@
 /// How a connection ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The machine turned it down.
+    /// The machine refused it.
     Refused,
-    /// It did not come up in time.
+    /// It was not established in time.
     NoAnswer,
     /// This machine could not open it.
     Unopened,
-    /// It ended.
+    /// It has ended.
     Ended {
-        /// Of what was marked by these, not a byte was written.
+        /// The marked sessions of which not a byte was written.
         unsent: Vec<SessionId>,
-        /// Of what was marked by these, not all was written.
+        /// The marked sessions that were not fully written.
         unfinished: Vec<SessionId>,
-        /// It was reset, as by a process that dies.
+        /// Whether it was reset, as by a process that dies.
         reset: bool,
     },
 }
 
-/// What a connection takes with it.
+/// What the end of a connection affects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LostConnection {
-    /// Its server.
+    /// The server of the connection.
     pub server: ServerId,
-    /// How each set-up that was open on it ended.
+    /// The unanswered set-ups of the connection, with the status of each.
     pub ended_set_ups: Vec<(SessionId, Status)>,
-    /// Set-ups that had been given up on it and whose end was not written.
+    /// Withdrawn set-ups whose release was not written.
     pub withdrawn: Vec<SessionId>,
-    /// What it tells of the server and all that stands there.
+    /// What the end says about the server and all its sessions.
     pub server_status: ServerStatus,
 }
 
-/// What the end of a connection tells of its server.
+/// What the end of a connection says about its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerStatus {
-    /// Nothing: another connection is up and well.
+    /// Nothing: another connection is open, or the server was heard from lately, or this machine failed to
+    /// open the connection.
     Up,
-    /// It may be lost: no other connection is up.
+    /// The server may be lost, as no other connection is open.
     Unsure,
-    /// It turns new connections down and no old one is left: lost, unless it drains.
+    /// The server refuses new connections and no old one is open: it is lost, unless it drains.
     RefusesConnections,
-    /// It is lost.
+    /// The server is lost.
     Lost,
 }
--- a/src/platform/links/writing.rs
+++ b/src/platform/links/writing.rs
@@ -1,4 +1,4 @@
-//! What is written to edge servers: set-ups, and what ends or changes them.
+//! Messages to edge servers: set-ups, releases and changes of rate.
 
 use super::link::{Link, Queued};
 use super::{Command, ConnId, Links};
@@ -8,6 +8,8 @@
 use crate::message::{Kind, cause};
 
 impl Links {
+    /// Writes or queues bytes for a server, and opens a connection if there is none. Returns false if the
+    /// server has no address.
     pub(super) fn write(
         &mut self,
         now: Micros,
@@ -33,7 +35,7 @@
         true
     }
 
-    /// Sends a set-up on. An error tells how the attempt ended at once: nothing ran.
+    /// Sends a set-up. An error is the status of an attempt that ended at once without having run.
     pub fn set_up(
         &mut self,
         now: Micros,
@@ -52,12 +54,12 @@
         if self.write(now, &s.server, bytes, Some(s.id), out) { Ok(()) } else { Err(Status::ConnectFailed) }
     }
 
-    /// The server that a set-up on a connection is for, if the set-up is still wanted there.
+    /// Returns the server of a set-up on a connection, if the set-up is still wanted there.
     pub fn carries(&self, conn: ConnId, id: SessionId) -> Option<&ServerId> {
         self.links.get(&conn).filter(|l| l.set_ups.contains_key(&id)).map(|l| &l.server)
     }
 
-    /// A set-up that was on a connection's way never leaves.
+    /// Withdraws a set-up that has not been written.
     pub fn withdraw(&mut self, conn: ConnId, id: SessionId, out: &mut Vec<Command>) {
         if let Some(link) = self.links.get_mut(&conn) {
             link.set_ups.remove(&id);
@@ -65,8 +67,8 @@
         out.push(Command::Withdraw(conn, id, Vec::new()));
     }
 
-    /// Descriptors are short: the connection goes that was used the longest ago, of those that nothing is set up on
-    /// and that lead to a server that is not `busy`.
+    /// Closes the least recently used connection when descriptors are short, out of those without set-ups and
+    /// queued writes to servers that are not `busy`.
     pub fn close_idle(&mut self, busy: impl Fn(&ServerId) -> bool, out: &mut Vec<Command>) {
         let idle = |l: &Link| {
             l.is_up() && !l.is_broken && l.set_ups.is_empty() && l.queue.is_empty() && !busy(&l.server)
@@ -78,7 +80,7 @@
         }
     }
 
-    /// When [`Links::write_due`] is wanted next.
+    /// The time at which [`Links::write_due`] must be called next.
     pub fn next_due(&self) -> Option<Micros> {
         let open = self.links.values().filter(|l| l.is_open && !l.is_broken);
         open.flat_map(|l| &l.queue).map(|queued| queued.not_before).min()
@@ -91,24 +93,24 @@
         }
     }
 
-    /// Whether a set-up still waits for its connection to come up, or for its time, so that it certainly has not run.
+    /// Whether a set-up is still queued, so that it certainly has not run.
     pub fn waits(&self, id: SessionId) -> bool {
         self.links.values().any(|l| l.queue.iter().any(|queued| queued.set_up == Some(id)))
     }
 
-    /// Whether anything waits for a connection, or for its time.
+    /// Whether any write waits for a connection or for its time.
     pub fn has_queued_writes(&self) -> bool {
         self.links.values().any(|l| !l.queue.is_empty())
     }
 
-    /// Ends a session, or an attempt that was given up.
+    /// Ends a session or an attempt that was given up.
     pub fn release(&mut self, now: Micros, id: SessionId, server: &ServerId, out: &mut Vec<Command>) {
         if let Ok(bytes) = Builder::new(Kind::Release, id).cause(cause::NORMAL).finish() {
             self.write(now, server, bytes, None, out);
         }
     }
 
-    /// Tells a server a session's new rung.
+    /// Tells a server the new rung of a session.
     pub fn rate(
         &mut self,
         now: Micros,
