--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's front: viewers' JSON lines on one side, edge servers' binary messages on the other, as state
-//! machines of bytes. They decide nothing and know no socket.
+//! The platform's front: JSON lines of viewers on one side, binary messages of edge servers on the other.
+//! State machines over bytes, which make no decisions and use no sockets.
 
 pub mod links;
 pub mod timings;
@@ -7,7 +7,7 @@
 
 use crate::api::{Class, Load, Settings};
 
-/// Reads a load report such as `x0:12;x1:40;queue:3`; what is not known or not a number is skipped.
+/// Parses a load report such as `x0:12;x1:40;queue:3`. Unknown names and invalid numbers are ignored.
 pub fn parse_load_report(text: &str) -> Load {
     let mut load = Load::default();
     for (name, value) in text.split([';', ',']).filter_map(|pair| pair.split_once(':')) {
@@ -28,7 +28,7 @@
     load
 }
 
-/// The longest time that a viewer of any class waits for an answer.
+/// Returns the longest deadline of any class.
 pub fn longest_deadline(settings: &Settings) -> crate::api::Micros {
     settings.classes.iter().map(|c: &Class| c.deadline).max().unwrap_or_default()
 }
--- a/src/platform/timings.rs
+++ b/src/platform/timings.rs
@@ -1,67 +1,67 @@
-//! Time limits that follow from a deployment's settings.
+//! Time limits that follow from the settings of a deployment.
 
 use super::longest_deadline;
 use crate::api::{Micros, Settings};
 use crate::board;
 
-/// A client must be told within 8 s of the end of a session whose server could send no release (protocol page, rules on
-/// sockets).
+/// A client must be told within this time of the end of a session whose server could send no release
+/// (protocol page, rules on sockets).
 const SESSION_END_DEADLINE: Micros = Micros(8_000_000);
-/// What is kept of that for the timers between two checks and for the client's line.
+/// Part of that deadline reserved for the timers between two checks and for the line to the client.
 const SESSION_END_MARGIN: Micros = Micros(500_000);
-/// While no server's notes come, a server that was not heard of for so long is checked.
+/// A server that has been silent for this time is checked while no notes of other servers arrive.
 const MAX_SILENCE: Micros = Micros(6_000_000);
-/// No silence shorter than this counts, however long a connection may take to come up.
+/// A shorter silence never counts, whatever the connect timeout.
 const MIN_SILENCE: Micros = Micros(1_000_000);
-/// How much later than due a server's notes may come before the server is checked.
+/// How late a server's notes may be before it is checked.
 const NOTE_MARGIN: Micros = Micros(500_000);
-/// A connection that was idle for nearly as long as servers allow carries nothing new: a set-up that crosses its close
-/// could be neither proved nor disproved to have run.
+/// Time before a server's idle timeout in which a connection carries nothing new: for a set-up that crosses
+/// the close of its connection, nothing could prove whether it ran.
 const IDLE_MARGIN: Micros = Micros(3_000_000);
-/// Where servers close idle connections soon, no more than this part of their time is kept away from.
+/// The margin is at most this part of the idle timeout, for servers that close idle connections early.
 const IDLE_MARGIN_DIVISOR: u64 = 4;
-/// A client that takes nothing for a shorter time may still be a live one: two retransmissions of a segment and more.
+/// Lower bound of the stall limit: a client that reads nothing for a shorter time may still be alive, as two
+/// and more retransmissions of a segment fit into it.
 const MIN_CLIENT_STALL: Micros = Micros(2_000_000);
-/// Requests of a class that went are read for at least so long, however short the deadlines.
+/// Lower bound of the time for which the names of removed classes are accepted, for short deadlines.
 const MIN_OLD_NAMES_ACCEPTED: Micros = Micros(2_000_000);
-/// The longest dial of the notice board: with [`board::SILENCE`] and [`board::RETRY`] before it, a board that fell silent
-/// is heard again within the 4 s after which its events count as told.
+/// Upper bound of the connect timeout of the notice board. With [`board::SILENCE`] and [`board::RETRY`]
+/// before it, a board that fell silent is heard again within the 4 s after which its events count as told.
 const MAX_BOARD_CONNECT: Micros = Micros(1_000_000);
 
-/// Time limits that follow from a deployment's settings; derived anew from each new configuration.
+/// Time limits that follow from the settings of a deployment, derived again from each new configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timings {
-    /// The longest time that a viewer of any class waits for an answer.
+    /// The longest deadline of any class.
     pub longest_deadline: Micros,
-    /// How long a connection to an edge server may take to come up.
+    /// Connect timeout for edge servers.
     pub connect_timeout: Micros,
-    /// How long a connection to the notice board may take to come up.
+    /// Connect timeout for the notice board.
     pub board_connect_timeout: Micros,
-    /// Servers close connections that were idle for so long; zero: never.
+    /// Servers close connections that were idle for this time; zero: never.
     pub server_idle_timeout: Micros,
-    /// How long before that a connection carries nothing new any more.
+    /// Time before the idle timeout in which a connection carries nothing new.
     pub idle_margin: Micros,
-    /// Time between a server's notes; zero: it writes none.
+    /// Time between the notes of a server; zero: it sends none.
     pub load_note_interval: Micros,
-    /// A server that was silent for longer is checked while other servers' notes come.
+    /// A server that has been silent for longer is checked while notes of other servers arrive.
     pub note_timeout: Micros,
-    /// A server that was silent for longer is checked in any case.
+    /// A server that has been silent for longer is checked in any case.
     pub max_silence: Micros,
-    /// A client that takes nothing for so long while there is something to write is let go.
+    /// A client that reads nothing for this time while writes are pending is disconnected.
     pub client_stall_timeout: Micros,
-    /// Requests that name a class that went are read for so long after a new configuration.
+    /// How long requests that name a removed class are accepted after a reload.
     pub old_names_accepted: Micros,
 }
 
 impl Timings {
-    /// The limits that follow from settings, from the time after which servers close idle connections, and from how
-    /// long a connection may take to come up.
+    /// Derives the limits from the settings, the idle timeout of servers and the connect timeout.
     pub fn new(settings: &Settings, server_idle_timeout: Micros, connect_timeout: Micros) -> Timings {
         let longest_deadline = longest_deadline(settings);
-        // A check takes up to `connect` until it is known to have no answer.
+        // A check takes up to the connect timeout until it counts as unanswered.
         let latest = (SESSION_END_DEADLINE - SESSION_END_MARGIN - connect_timeout).max(MIN_SILENCE);
         let due = settings.load_note_interval + settings.note_delay + NOTE_MARGIN;
-        // Without notes silence says little, yet it is all that tells of a machine that vanished.
+        // Without notes silence says little, but it is the only sign of a machine that vanished.
         let max_silence = MAX_SILENCE.max(due).min(latest);
         let note_timeout =
             if settings.load_note_interval == Micros(0) { max_silence } else { due.min(latest) };
@@ -74,9 +74,9 @@
             load_note_interval: settings.load_note_interval,
             note_timeout,
             max_silence,
-            // What waits there is of use for as long as any answer can be.
+            // Pending writes are of use for as long as any answer can be.
             client_stall_timeout: longest_deadline.max(MIN_CLIENT_STALL),
-            // Who asked under the old configuration has given up by then.
+            // Clients that asked under the old configuration have given up by then.
             old_names_accepted: longest_deadline.max(MIN_OLD_NAMES_ACCEPTED),
         }
     }
--- a/src/platform/timings/tests.rs
+++ b/src/platform/timings/tests.rs
@@ -5,7 +5,7 @@
     Micros(ms * 1000)
 }
 
-/// Settings with these deadlines, notes each `tell` and late by `see`, in milliseconds.
+/// Settings with these deadlines, note interval and note delay, in milliseconds.
 fn settings(deadlines: &[u64], note_interval: u64, note_delay: u64) -> Settings {
     let mut settings = Settings::new(vec![1.0], vec![1.0]);
     settings.classes = deadlines.iter().map(|d| Class::new(ms(d / 3), ms(*d), Idempotency::Safe)).collect();
@@ -26,7 +26,8 @@
     }
 }
 
-/// Whatever notes and connections take, the end of a vanished server's sessions is told within 8 s of its last word.
+/// For all note intervals and connect timeouts, the end of a vanished server's sessions is told within 8 s of
+/// its last message.
 #[test]
 fn vanished_server_is_detected_within_eight_seconds_for_all_settings() {
     for connect in [100, 250, 700, 1_000, 2_000] {
@@ -40,7 +41,7 @@
             assert!(timings.note_timeout <= timings.max_silence && timings.note_timeout >= ms(1_000));
         }
     }
-    // Where notes leave time enough, they are waited for.
+    // Notes are waited for where the time allows.
     let timings = Timings::new(&settings(&[3_000], 2_000, 400), ms(30_000), ms(250));
     assert_eq!((timings.note_timeout, timings.max_silence), (ms(2_900), ms(6_000)));
 }
@@ -50,7 +51,7 @@
     for (connect, board) in [(100, 400), (250, 400), (700, 700), (2_000, 1_000)] {
         let timings = Timings::new(&settings(&[3_000], 3_000, 1_000), ms(30_000), ms(connect));
         assert_eq!(timings.board_connect_timeout, ms(board));
-        // A board that fell silent speaks again before its events count as told, 4 s after it fell silent.
+        // A board that fell silent is heard again before its events count as told, 4 s after it fell silent.
         assert!(board::SILENCE + board::RETRY + timings.board_connect_timeout < ms(4_000));
     }
 }
--- a/src/platform/viewer.rs
+++ b/src/platform/viewer.rs
@@ -1,46 +1,48 @@
-//! A viewer's connection: JSON lines in, what they ask for out; and the lines that answer them.
+//! A viewer connection: decodes JSON lines into messages, and builds the lines that answer them.
 
 use crate::api::{Micros, Request, Rung, ServerId, SessionId, Settings, Status, Text};
 use crate::message::line::{Decoder, Line};
 use crate::message::{Kind, Malformed, cause};
 use crate::roster::SettingNames;
 
-/// How far what is left of a viewer's time may lie above the deadline of its class: clocks and rounding differ.
+/// How far the remaining time of a viewer may exceed the deadline of its class, as clocks and rounding
+/// differ.
 const TIME_LEFT_MARGIN: Micros = Micros(1_000_000);
 
-/// What a viewer says.
+/// A message of a viewer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ViewerMessage {
-    /// It asks for a session, with a description.
+    /// A request for a session, with a description.
     SetUp(Request, String),
-    /// It names a session that plays at a server already.
+    /// A session that already plays at a server.
     ExistingSession(Request, ServerId),
-    /// It asks for what the settings rule out, so that no server could use it; with the class, if that is known.
+    /// A request with a field that the settings rule out, so that no server could serve it; with its class if
+    /// that is known.
     Invalid(SessionId, Option<usize>),
-    /// It gives a set-up up, or ends its session.
+    /// Gives up a set-up or ends its session.
     Release(SessionId),
-    /// It tests the broker.
+    /// A health check.
     Ping(SessionId),
 }
 
-/// The reading side of one connection.
+/// The decoder of one connection.
 #[derive(Debug, Default)]
 pub struct ViewerDecoder {
     decoder: Decoder,
 }
 
 impl ViewerDecoder {
-    /// Takes bytes in.
+    /// Adds received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.decoder.feed(bytes);
     }
 
-    /// Whether a message has begun that is not whole yet.
+    /// Whether a message has begun that is not complete yet.
     pub fn has_partial_message(&self) -> bool {
         self.decoder.begun()
     }
 
-    /// The next thing said, or none until more bytes come.
+    /// Returns the next message, or none until more bytes arrive.
     pub fn next_message(
         &mut self,
         now: Micros,
@@ -58,7 +60,7 @@
                 }
                 Kind::Release => return Ok(Some(ViewerMessage::Release(line.id))),
                 Kind::Ping => return Ok(Some(ViewerMessage::Ping(line.id))),
-                // Free: they mean nothing.
+                // Allowed but without meaning.
                 Kind::Progress | Kind::Released | Kind::Pong => {}
                 Kind::Answer | Kind::Note | Kind::Move | Kind::Rate => return Err(Malformed::UnknownType),
             }
@@ -67,7 +69,7 @@
     }
 }
 
-/// Reads a set-up; none if a figure is missing, can't be read, or is beyond what the settings allow.
+/// Parses a set-up. Returns none if a field is missing, invalid or beyond what the settings allow.
 fn set_up(line: Line, now: Micros, names: &SettingNames, settings: &Settings) -> Option<ViewerMessage> {
     let field = |name: &str| line.fields.get(name).map(String::as_str);
     let number = |text: &str| text.trim().parse::<f64>().ok().filter(|x| x.is_finite());
@@ -90,7 +92,7 @@
             "again" => request.again = value != "0",
             "moved" | "midflow" => request.moved = value != "0",
             "at" => at = Some(ServerId::new(value)),
-            // Unknown figures are skipped like unknown fields.
+            // Unknown extras are ignored, as unknown fields are.
             _ => {}
         }
     }
@@ -101,9 +103,9 @@
         return Some(ViewerMessage::ExistingSession(request, server));
     }
     request.copies = copies?;
-    // A viewer waits as long as its class does, give or take what the way cost.
+    // A viewer waits as long as the deadline of its class, give or take the transit time.
     let left = Micros::from_ms(field("left").and_then(number)?);
-    // One that was sent before the class changed may wait for as long as it did then.
+    // A request sent before its class changed may use the deadline of that time.
     let alike =
         names.classes.iter().zip(&settings.classes).filter(|(name, _)| **name == names.classes[class]);
     let most = alike.map(|(_, class)| class.deadline).max()?;
@@ -114,23 +116,23 @@
     Some(ViewerMessage::SetUp(request, line.sdp?))
 }
 
-/// The session stands.
+/// The session is established.
 pub fn answer(id: SessionId, description: &str) -> Line {
     Line::new(Kind::Answer, id).sdp(description)
 }
 
-/// Refused: coming again is harmless, after the wait if there is one.
+/// The request was refused: it may be repeated, after the wait if there is one.
 pub fn refused(id: SessionId, wait: Micros) -> Line {
     let line = Line::new(Kind::Release, id).cause(cause::REFUSED);
     if wait == Micros(0) { line } else { line.field("wait", wait.0.div_ceil(1000)) }
 }
 
-/// Failed.
+/// The request failed.
 pub fn failed(id: SessionId) -> Line {
     Line::new(Kind::Release, id).cause(cause::ERROR)
 }
 
-/// The session is over; none if its viewer is owed nothing.
+/// The session has ended; none if its viewer need not be told.
 pub fn ended(id: SessionId, status: Status) -> Option<Line> {
     let cause = match status {
         Status::Cancelled => return None,
@@ -145,12 +147,12 @@
     Line::new(Kind::Move, id)
 }
 
-/// A test's result.
+/// The result of a health check.
 pub fn pong(id: SessionId, passed: bool) -> Line {
     Line::new(Kind::Pong, id).cause(u8::from(passed))
 }
 
-/// A release was heard.
+/// Confirms a release.
 pub fn released(id: SessionId) -> Line {
     Line::new(Kind::Released, id)
 }
