--- a/tests/node.rs
+++ b/tests/node.rs
@@ -1,4 +1,4 @@
-//! One broker without its sockets: what the ends of connections and news of the list lead to.
+//! Tests of a node without sockets: what ended connections and updates of the server list lead to.
 
 mod support;
 
@@ -12,6 +12,7 @@
 use serde_json::json;
 use support::{answer, release, settings};
 
+/// A node with its clock and the commands it has given.
 struct Harness {
     node: Node,
     now: Micros,
@@ -24,7 +25,7 @@
 const RESET: ConnectionEnd = ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: true };
 
 impl Harness {
-    /// Servers send notes each second.
+    /// Servers send a note each second.
     fn new() -> Harness {
         let mut settings = settings(4000.0);
         settings["FamilyInfo"]["ReportsEvery"] = json!(1000.0);
@@ -68,7 +69,7 @@
         self.now = end;
     }
 
-    /// Ends of attempts among the commands from there on are written at once.
+    /// Reports the withdrawals among the commands from this index on as written.
     fn write_withdrawals(&mut self, from: usize) {
         let withdrawal = |command: &Command| match command {
             Command::Withdraw(conn, id, _) => Some((*conn, *id)),
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Connections that were asked for since the last call.
+    /// Removes and returns the connections that were dialled since the last call.
     fn take_dials(&mut self) -> Vec<ConnId> {
         let dial = |c: &Command| if let Command::Dial(conn, _) = c { Some(*conn) } else { None };
         let dials = self.out.iter().filter_map(dial).collect();
@@ -88,14 +89,14 @@
         dials
     }
 
-    /// Turns down every connection that was asked for.
+    /// Refuses every connection that was dialled.
     fn refuse_all(&mut self) {
         for conn in self.take_dials() {
             self.closed(conn, &ConnectionEnd::Refused);
         }
     }
 
-    /// What was written on a connection.
+    /// Returns what was written on a connection.
     fn written_to(&self, to: ConnId) -> String {
         let write = |c: &Command| match c {
             Command::Write(conn, bytes, _) | Command::WriteSessionEnd(conn, bytes) if *conn == to => {
@@ -124,7 +125,7 @@
         self.bytes(conn, format!("{line}\n").as_bytes());
     }
 
-    /// A session that stands at `s-0`: the viewer's connection and the server's.
+    /// Establishes a session at `s-0`. Returns the connections of the viewer and the server.
     fn establish_session(&mut self) -> (ConnId, ConnId) {
         self.update_server("s-0", ServerState::Ready, 1);
         let viewer = self.connect_viewer();
@@ -136,7 +137,7 @@
         (viewer, edge)
     }
 
-    /// Connections that are to be closed, in order.
+    /// Returns the connections to close, in order, with the reasons.
     fn close_commands(&self) -> Vec<(ConnId, &'static str)> {
         let close = |c: &Command| match c {
             Command::Close(conn, reason) | Command::CloseIfQuiet(conn, reason) => Some((*conn, *reason)),
@@ -155,8 +156,8 @@
     }
 }
 
-/// Seen on a day with a release of the servers: ones that drain turn connections down and fall silent while
-/// their sessions play, and 29 sessions were ended too early.
+/// Draining servers refuse connections and fall silent while their sessions play. When this counted as a
+/// loss, 29 sessions were ended too early during one release of the servers.
 #[test]
 fn keeps_sessions_when_draining_server_refuses_connections() {
     let mut harness = Harness::new();
@@ -172,8 +173,8 @@
     assert!(harness.session_was_reset(viewer), "the list says that it is gone");
 }
 
-/// Seen on another such day: a server was gone without resetting its connection, and a refused check beside
-/// that connection was taken as a sign of life, so that clients heard of the end more than 8 s late.
+/// A server may be gone without having reset its connection. When a refused check counted as a sign of life
+/// because that connection was still open, clients were told of the end more than 8 s late.
 #[test]
 fn ends_sessions_in_time_when_silent_server_refuses_connections() {
     for state in [ServerState::Ready, ServerState::Draining] {
@@ -220,8 +221,8 @@
     assert!(harness.session_was_reset(viewer));
 }
 
-/// Seen on days with a hundred brokers: when all servers' notes stayed out, each broker tried each of its servers by
-/// a new connection every 2.75 s, up to 2,600 in all, though nothing was wrong with any of them.
+/// When the notes of all servers failed to arrive, each of a hundred brokers checked each of its servers by a
+/// new connection every 2.75 s, up to 2,600 in all, though all servers were healthy.
 #[test]
 fn checks_server_without_notes_only_while_other_notes_arrive() {
     let mut harness = Harness::new();
@@ -237,10 +238,10 @@
     harness.advance_ms(1300);
     harness.bytes(other, &note);
     harness.advance_ms(4200);
-    assert!(harness.take_dials().is_empty(), "no server's notes come");
+    assert!(harness.take_dials().is_empty(), "no server sends notes");
     harness.bytes(other, &note);
     harness.advance_ms(250);
-    assert_eq!(harness.take_dials().len(), 1, "the other's came");
+    assert_eq!(harness.take_dials().len(), 1, "notes of the other server arrived");
 }
 
 #[test]
@@ -258,8 +259,8 @@
     assert!(harness.session_was_reset(viewer));
 }
 
-/// Seen on a day with a hundred brokers: a server's release crossed the close of a connection that another had
-/// replaced. It is not written again, so the viewer was never told and the rule on lost sessions was broken.
+/// A server's release may be in flight when its connection is replaced, and is not sent again. When it was
+/// dropped, the viewer was never told, against the rule on lost sessions.
 #[test]
 fn forwards_release_received_on_replaced_connection() {
     let mut harness = Harness::new();
@@ -268,13 +269,14 @@
     let check = harness.take_dials()[0];
     harness.node.opened(harness.now, check, &mut harness.out);
     assert!(harness.out.contains(&Command::LingeringClose(edge, "replaced")));
-    // What is new goes out on the new connection.
+    // New set-ups use the new connection.
     let other = SessionId(7);
     harness.request_as(viewer, other);
     assert!(!harness.written_to(check).is_empty() && harness.take_dials().is_empty());
     harness.bytes(edge, &release(ID, cause::NORMAL).finish().unwrap());
     assert!(harness.written_to(viewer).contains("\"cause\":16"));
-    // The end of the old one says nothing of the server, and a refusal later is no proof of its death.
+    // The end of the old connection says nothing about the server, and a later refusal does not prove that it
+    // is dead.
     harness.closed(edge, &RESET);
     assert!(harness.take_dials().is_empty());
     harness.update_server("s-0", ServerState::Draining, 1);
@@ -291,40 +293,43 @@
     let (viewer, _) = harness.establish_session();
     harness.update_server("s-1", ServerState::Ready, 1);
     assert!(harness.session_was_reset(viewer));
-    // Late news of the old one does not take the address back.
+    // A late update of the old server does not take the address back.
     harness.update_server("s-0", ServerState::Gone, 1);
     harness.request(viewer);
     assert_eq!(harness.take_dials().len(), 1);
 }
 
-/// A list may name a server at another address than before: that is another one, and nothing that was meant for
-/// the old one may reach it, nor may what the old one still says count for it.
+/// A server listed at a new address counts as another server: nothing meant for the old one may reach it, and
+/// messages of the old one must not count for it.
 #[test]
 fn treats_server_at_new_address_as_another_server() {
     let mut harness = Harness::new();
     let (viewer, old) = harness.establish_session();
-    // One paid set-up is out at the old one.
+    // A paid set-up is in flight at the old address.
     let paid = SessionId(7);
     harness.request_paid(viewer, paid);
     assert!(harness.written_to(old).contains("paid"));
     harness.update_server("s-0", ServerState::Ready, 2);
-    assert!(harness.session_was_reset(viewer), "what stood there is over");
+    assert!(harness.session_was_reset(viewer), "sessions at the old server have ended");
     assert!(harness.out.contains(&Command::Abort(old, "moved")));
     harness.bytes(old, &answer(paid, "offer").finish().unwrap());
-    assert!(!harness.written_to(viewer).contains("0000000000000007"), "nothing more is heard of the old one");
+    assert!(
+        !harness.written_to(viewer).contains("0000000000000007"),
+        "messages of the old server are ignored"
+    );
     harness.closed(old, &UNSENT);
     harness.advance_ms(4000);
-    let told = harness.written_to(viewer);
-    assert_eq!(told.matches("\"id\":\"0000000000000007\"").count(), 1, "a single answer: {told}");
+    let written = harness.written_to(viewer);
+    assert_eq!(written.matches("\"id\":\"0000000000000007\"").count(), 1, "a single answer: {written}");
     let sent = |c: &&Command| matches!(c, Command::Write(.., Some(id)) if *id == paid);
-    // Written once to the old server, and once, as its answer, to the viewer at most.
+    // Written once to the old server, and at most once more to the viewer, as its answer.
     let to_servers =
         harness.out.iter().filter(sent).filter(|c| !matches!(c, Command::Write(conn, ..) if *conn == viewer));
     assert_eq!(to_servers.count(), 1, "a paid set-up that may have run is not sent again");
 }
 
-/// A connection that was still on its way to the old address carries nothing, and what waited for it goes to the
-/// new one: it provably never ran.
+/// A connection that is still being opened to the old address carries nothing. Its set-ups certainly have not
+/// run, so they go to the new address.
 #[test]
 fn resends_unsent_set_up_to_new_address() {
     let mut harness = Harness::new();
@@ -337,7 +342,7 @@
     assert_eq!(harness.written_to(old), "", "nothing is written to the old address");
     harness.closed(old, &UNSENT);
     harness.advance_ms(500);
-    let Some(new) = harness.take_dials().last().copied() else { panic!("it is tried at the new address") };
+    let Some(new) = harness.take_dials().last().copied() else { panic!("the new address was not dialled") };
     harness.node.opened(harness.now, new, &mut harness.out);
     assert!(harness.written_to(new).contains("paid"));
 }
@@ -349,7 +354,7 @@
     harness.closed(viewer, &UNSENT);
     harness.bytes(edge, &release(ID, cause::NORMAL).finish().unwrap());
     let next = harness.connect_viewer();
-    assert_eq!(harness.written_to(next), "", "it may be a test's");
+    assert_eq!(harness.written_to(next), "", "the connection may be a health checker's");
     let line = json!({"type": "release", "id": "0000000000000001", "fields": {}, "cause": 16});
     harness.bytes(next, format!("{line}\n").as_bytes());
     assert!(harness.written_to(next).contains("\"cause\":16"));
@@ -369,8 +374,9 @@
     assert_eq!(harness.node.open_counts(), (0, 0));
 }
 
-/// Seen after a restart, when many set-ups timed out: a connection that had been silent was left for a new one,
-/// and the give-up with it. It reached its server after the next attempt had reached another: two at once.
+/// When many set-ups timed out after a restart, a silent connection was replaced and the release of an
+/// attempt went out on the new one. It arrived after the next attempt had reached another server, so two ran
+/// at once.
 #[test]
 fn withdraws_attempt_on_its_own_connection_before_next_attempt() {
     let mut harness = Harness::new();
@@ -387,8 +393,8 @@
     assert_eq!(harness.take_dials().len(), 1, "one connection, for the next attempt");
 }
 
-/// Seen on a day with bad clients: of 916 such clients 253 were left with no word, as connections that said
-/// nothing, or half a message, or nothing that is owed an answer, stayed for good.
+/// Connections that sent nothing, half a message, or only messages without an answer stayed open for good: of
+/// 916 misbehaving clients in one run, 253 were left without a word.
 #[test]
 fn closes_viewer_connections_without_requests_and_keeps_waiting_ones() {
     let mut harness = Harness::new();
@@ -405,14 +411,11 @@
     assert!(harness.close_commands().is_empty());
     harness.advance_ms(400);
     assert_eq!(harness.close_commands(), [(silent, "silent"), (half, "unfinished"), (slow, "unfinished")]);
-    // What still comes there is not heard.
+    // Later input on them is ignored.
     harness.out.clear();
     harness.bytes(silent, ping);
     assert!(harness.written_to(silent).is_empty());
-    assert!(
-        harness.close_commands().is_empty(),
-        "one that was heard may ask more, and one waits for its answer"
-    );
+    assert!(harness.close_commands().is_empty(), "one may ask more, and one waits for its answer");
     harness.advance_ms(1400);
     assert_eq!(harness.close_commands(), [(heard, "idle")]);
     assert!(
@@ -420,7 +423,7 @@
     );
 }
 
-/// Guards against connections by the hundred that keep usual clients out: descriptors are few.
+/// Guards against hundreds of connections that use up the descriptors and keep ordinary clients out.
 #[test]
 fn closes_least_useful_connection_first_when_descriptors_are_short() {
     let mut harness = Harness::new();
@@ -437,8 +440,8 @@
     assert_eq!(harness.close_commands(), [silent, late, spoke, plays].map(|conn| (conn, "no-room")));
 }
 
-/// Guards against figures that no server can use, or that would hold a request or a session for good: each is
-/// answered at once, and nothing is sent.
+/// Guards against field values that no server can use or that would keep a request or session for good. Each
+/// is answered at once, and nothing is sent to a server.
 #[test]
 fn fails_set_up_with_out_of_range_fields_at_once() {
     let mut harness = Harness::new();
@@ -476,13 +479,13 @@
     }
     set_up(&mut harness, 100, good);
     assert_eq!(harness.take_dials().len(), 1);
-    // A session said to play at a server that nobody knows would never end.
+    // A session reported at an unknown server would never end.
     set_up(&mut harness, 101, ("clip", "0", "home:0;copies:3;top:1;at:s-7"));
     assert!(harness.written_to(viewer).contains("\"cause\":41"));
     assert_eq!(harness.node.open_counts(), (1, 0));
 }
 
-/// Seen on a day with bad clients: the second set-up under one id was dropped without a word.
+/// The second set-up with the same id used to be dropped without an answer.
 #[test]
 fn rejects_set_up_with_id_in_use_and_answers_the_first_once() {
     let mut harness = Harness::new();
@@ -494,8 +497,8 @@
     harness.request(stranger);
     assert_eq!(harness.close_commands(), [(stranger, "id-in-use")]);
     harness.request(busy);
-    assert!(harness.written_to(busy).contains("\"cause\":47"), "others are open there");
-    // On the first's own connection any line could be taken for the first's answer.
+    assert!(harness.written_to(busy).contains("\"cause\":47"), "other set-ups are unanswered there");
+    // On the first viewer's own connection any line could be taken for the answer to the first.
     harness.request(first);
     assert!(harness.written_to(first).is_empty());
     harness.node.opened(harness.now, edge, &mut harness.out);
@@ -504,8 +507,8 @@
     assert_eq!(harness.close_commands().last(), Some(&(first, "id-in-use")));
 }
 
-/// Guards against what a broken message takes along: messages before it in the same read were dropped, and the
-/// set-ups behind it waited for answers that could not come. Each is settled once.
+/// Guards against two effects of a malformed message: messages before it in the same read were dropped, and
+/// set-ups after it waited for answers that could not come. Each set-up is settled once.
 #[test]
 fn settles_each_set_up_once_after_malformed_message() {
     let mut harness = Harness::new();
@@ -519,19 +522,26 @@
     harness.out.clear();
     let good = |id| answer(id, "offer").finish().unwrap();
     harness.bytes(edge, &[good(ID), vec![0, 3, 9, 9, 9], good(SessionId(2))].concat());
-    assert_eq!(harness.written_to(viewer).matches("answer").count(), 1, "what came before it counts");
+    assert_eq!(
+        harness.written_to(viewer).matches("answer").count(),
+        1,
+        "messages before the malformed one count"
+    );
     assert!(harness.out.contains(&Command::Abort(edge, "bad-length")));
     harness.out.clear();
     harness.bytes(edge, &good(SessionId(3)));
-    assert!(harness.out.is_empty(), "nothing more is read there");
+    assert!(harness.out.is_empty(), "nothing more is read on that connection");
     harness.closed(edge, &UNSENT);
     let written = harness.written_to(viewer);
-    assert!(written.contains("\"cause\":47") && written.contains("0000000000000002"), "paid may have run");
-    assert_eq!(harness.take_dials().len(), 1, "harmless goes again, on a new connection");
+    assert!(
+        written.contains("\"cause\":47") && written.contains("0000000000000002"),
+        "the paid set-up may have run"
+    );
+    assert_eq!(harness.take_dials().len(), 1, "the repeatable set-up is sent again on a new connection");
     assert_eq!(harness.node.open_counts(), (1, 1));
 }
 
-/// Guards against an answer that is cut short: it holds up all that is behind it.
+/// Guards against an incomplete answer, which blocks everything after it.
 #[test]
 fn aborts_connection_on_partial_message_or_empty_answer() {
     let mut harness = Harness::new();
@@ -554,8 +564,8 @@
     assert!(!harness.written_to(viewer).contains("answer"));
 }
 
-/// Guards against memory that grows all day: servers, viewers, titles and connections come and go under new ids.
-/// Every other session is given up by its viewer, every third server leaves the list unsaid.
+/// Guards against memory that grows all day as servers, viewers, titles and connections come and go with new
+/// ids. Every other session is given up by its viewer, and every third server leaves the list without notice.
 #[test]
 fn forgets_ended_sessions_servers_and_connections() {
     let mut harness = Harness::new();
@@ -589,12 +599,12 @@
         }
         harness.out.clear();
     }
-    // Titles fade within 100 s, 250 of these.
+    // Titles are forgotten within 100 s, in which 250 of them are used.
     assert!(harness.node.tracked_entries() < 300, "{}", harness.node.tracked_entries());
 }
 
-/// Seen on a recorded day: a give-up and the next attempt left in the same moment on two connections, the attempt
-/// was read first, and two were out at once. One that is withdrawn, or loses its connection, meanwhile never ran.
+/// A release and the next attempt were once sent at the same time on two connections. The attempt was read
+/// first, so two ran at once. An attempt that is withdrawn or loses its connection in the meantime never ran.
 #[test]
 fn sends_next_attempt_only_after_a_gap() {
     for then in ["waits", "leaves", "breaks"] {
@@ -634,7 +644,7 @@
     }
 }
 
-/// Seen in a review: a server that changed from the platform's messages to WHEP was not taken into the pool.
+/// Guards against a server that changed from the platform's messages to WHEP and was not added to the pool.
 #[test]
 fn uses_whep_after_server_changes_protocol() {
     let mut harness = Harness::new();
@@ -644,8 +654,8 @@
     let listed = ListedServer { entry, address: ([127, 0, 0, 1], 1).into(), paths: Some(paths) };
     let news = ListUpdate { kind: ListKind::Changes, servers: vec![listed] };
     harness.node.update_server_list(harness.now, news, &mut harness.out);
-    assert!(harness.session_was_reset(viewer), "what stood there is over");
-    // The module leaves a server alone for a while whose sessions were lost.
+    assert!(harness.session_was_reset(viewer), "sessions set up by the old protocol have ended");
+    // The module avoids a server whose sessions were lost for a while.
     harness.advance_ms(4000);
     let viewer = harness.connect_viewer();
     harness.request_as(viewer, SessionId(9));
