--- a/tests/cuts.rs
+++ b/tests/cuts.rs
@@ -1,5 +1,5 @@
-//! Paid set-ups through connections that are cut at random bytes, on both sides: one node, clients and media servers
-//! in one process on a virtual clock, from seeds.
+//! Simulates paid set-ups over connections that are cut at random bytes on both sides: one node, its clients
+//! and media servers in one process, on a virtual clock, with fixed seeds.
 
 mod support;
 
@@ -18,9 +18,9 @@
 
 const BOOKING_COUNT: u32 = 420;
 const DEADLINE_MS: u64 = 3000;
-/// One set-up in so many has its booking deleted before it can be done.
+/// One set-up in this many has its booking deleted before it can complete.
 const DELETE_ONE_IN: u32 = 8;
-/// One connection in so many is cut, at a random byte.
+/// One message in this many is cut at a random byte.
 const CUT_ONE_IN: u32 = 6;
 
 fn ms(n: u64) -> Micros {
@@ -30,7 +30,7 @@
 enum Event {
     Opened(ConnId),
     Refused(ConnId),
-    /// A media server's answer, and where it breaks off.
+    /// The answer of a media server, and the byte at which it is cut.
     Answer {
         conn: ConnId,
         bytes: Vec<u8>,
@@ -52,7 +52,7 @@
 struct EdgeSession {
     booking: String,
     is_established: bool,
-    /// Its place reached the broker.
+    /// Whether its location reached the broker.
     is_reported: bool,
 }
 
@@ -72,20 +72,20 @@
     rng: fastrand::Rng,
     events: BTreeMap<(Micros, u64), Event>,
     next: u64,
-    /// Connections to media servers, with what each has read.
+    /// Connections to media servers, with the decoder of each.
     edges: BTreeMap<ConnId, Decoder>,
     clients: BTreeMap<ConnId, Client>,
     sessions: BTreeMap<String, EdgeSession>,
     /// A booking that was set up twice.
     duplicate_booking: Option<String>,
-    /// Bookings that have had their last word.
+    /// Bookings that need nothing more.
     finished: BTreeSet<u32>,
     statuses: BTreeMap<u16, u32>,
     answered: u32,
 }
 
 impl Simulation {
-    /// `named`: media servers know sessions by the broker's names too.
+    /// With `named`, media servers also know sessions by the broker's names.
     fn new(seed: u64, named: bool) -> Simulation {
         let mut text = "[whip]\nlisten = \"127.0.0.1:0\"\nreclaim_ms = 400\n".to_owned();
         text += "[[title]]\nname = \"walk\"\nclass = \"paid\"\nhome = 0\ncopies = 3\n";
@@ -100,7 +100,7 @@
             &serde_json::json!({"seed": format!("{seed:x}"), "settings": settings(DEADLINE_MS as f64)}),
         )
         .unwrap();
-        // The seed is a key of the whole file: it stands first.
+        // The seed is a top-level key, so it comes first.
         let (seed_line, rest): (Vec<&str>, Vec<&str>) = text.lines().partition(|l| l.starts_with("seed = "));
         let text = seed_line.into_iter().chain(rest).collect::<Vec<_>>().join("\n");
         let config = Config::operator_text("operator.toml", &text, Path::new(".")).unwrap();
@@ -130,7 +130,7 @@
         self.events.insert((self.now + after, self.next), event);
     }
 
-    /// Where something of this length is cut, if it is.
+    /// Where a message of this length is cut, if it is.
     fn random_cut(&mut self, length: usize) -> Option<usize> {
         (self.rng.u32(0..CUT_ONE_IN) == 0).then(|| self.rng.usize(0..=length))
     }
@@ -148,7 +148,7 @@
                 Command::Write(conn, bytes, tag) if self.edges.contains_key(&conn) => {
                     self.edge_reads(conn, &bytes, tag)
                 }
-                // Here a set-up is on its way as soon as it was written.
+                // In this simulation a set-up is in flight as soon as it is written.
                 Command::Withdraw(conn, id, behind) => {
                     self.edge_reads(conn, &behind, None);
                     self.run_node(|node, now, out| node.withdrawn(now, conn, id, out));
@@ -176,12 +176,12 @@
         self.schedule(ms(1), if refused { Event::Refused(conn) } else { Event::Opened(conn) });
     }
 
-    /// The broker writes to a media server.
+    /// Handles bytes that the broker writes to a media server.
     fn edge_reads(&mut self, conn: ConnId, bytes: &[u8], tag: Option<SessionId>) {
         let cut = self.random_cut(bytes.len());
         let Some(decoder) = self.edges.get_mut(&conn) else { return };
         decoder.feed(&bytes[..cut.unwrap_or(bytes.len())]);
-        let request = decoder.next_request(64 * 1024).expect("the broker writes whole requests");
+        let request = decoder.next_request(64 * 1024).expect("the broker writes complete requests");
         if let Some(request) = request {
             let (answer, made) = match request.method.as_str() {
                 "DELETE" => {
@@ -218,7 +218,7 @@
             };
             if cut.is_none() {
                 let cut = self.random_cut(answer.len());
-                // Some answers come after the client's time is over.
+                // Some answers arrive after the client's deadline.
                 let late = if self.rng.u32(0..25) == 0 { DEADLINE_MS } else { 0 };
                 let delay = ms(late + self.rng.u64(1..30));
                 return self.schedule(delay, Event::Answer { conn, bytes: answer.into_bytes(), cut, made });
@@ -234,7 +234,7 @@
         }
     }
 
-    /// The broker writes to a client.
+    /// Handles bytes that the broker writes to a client.
     fn client_reads(&mut self, conn: ConnId, bytes: &[u8], tag: Option<SessionId>) {
         let cut = if bytes.is_empty() { None } else { self.random_cut(bytes.len()) };
         let Some(client) = self.clients.get_mut(&conn) else { return };
@@ -247,10 +247,10 @@
         }
         while let Ok(Some(response)) = client.responses.next_response(64 * 1024) {
             client.answers.push(response.status);
-            assert!(client.whole, "no answer to what was never asked");
+            assert!(client.whole, "only a complete request is answered");
             assert_eq!(client.answers.len(), 1, "one answer for each request");
             let took = self.now - client.asked;
-            assert!(took <= ms(DEADLINE_MS + 50), "in time: {took:?}");
+            assert!(took <= ms(DEADLINE_MS + 50), "answered in time: {took:?}");
             *self.statuses.entry(response.status).or_default() += 1;
             self.answered += 1;
         }
@@ -264,7 +264,7 @@
                 (true, _) => {
                     self.finished.insert(booking);
                 }
-                // Refused: the booking is free, and its client comes again, unless it was told to end.
+                // Refused: the booking is free, and its client asks again unless it was told to end.
                 (false, 503) if !self.finished.contains(&booking) => {
                     self.schedule(pause, Event::SetUp { booking, tries: 0 })
                 }
@@ -273,7 +273,7 @@
         }
     }
 
-    /// A client is gone: it comes again on another connection.
+    /// Removes a client, which asks again on another connection.
     fn drop_client(&mut self, conn: ConnId) -> bool {
         let Some(client) = self.clients.remove(&conn) else { return false };
         let Client { booking, tries, deletes, .. } = client;
@@ -362,9 +362,10 @@
     }
 }
 
-/// 2,100 paid bookings over five seeds, one set-up in eight deleted at any of its steps: each is set up once at most, each request that came whole and whose client
-/// stayed has exactly one answer in time, and nothing stands after the last DELETE; but where servers don't know
-/// sessions by the broker's names, what no byte of an answer ever told the broker of.
+/// 2,100 paid bookings over five seeds, one set-up in eight deleted at any of its steps. Each booking is set
+/// up at most once. Each complete request whose client stayed has exactly one answer in time. No session
+/// remains after the last DELETE, except where servers don't know sessions by the broker's names and no byte
+/// of an answer told the broker of the session.
 #[test]
 fn sets_up_paid_sessions_once_when_connections_are_cut_at_any_byte() {
     let (mut stranded, mut set_up, mut answered) = (0, 0, 0);
@@ -372,7 +373,7 @@
         let mut simulation = Simulation::new(seed, named);
         simulation.run();
         let missing: Vec<u32> = (0..BOOKING_COUNT).filter(|b| !simulation.finished.contains(b)).collect();
-        assert!(missing.is_empty(), "seed {seed}: without a last word: {missing:?}");
+        assert!(missing.is_empty(), "seed {seed}: unfinished bookings: {missing:?}");
         let mut sessions: BTreeMap<&str, u32> = BTreeMap::new();
         for made in simulation.sessions.values() {
             *sessions.entry(&made.booking).or_default() += 1;
@@ -381,10 +382,10 @@
         let standing: Vec<(&String, &EdgeSession)> =
             simulation.sessions.iter().filter(|(_, m)| m.is_established).collect();
         for (place, made) in &standing {
-            assert!(!made.is_reported && !named, "seed {seed}: {place} of booking {} stands", made.booking);
+            assert!(!made.is_reported && !named, "seed {seed}: {place} of booking {} remains", made.booking);
         }
-        assert_eq!(simulation.node.open_counts(), (0, 0), "seed {seed}: the broker holds nothing");
-        assert_eq!(simulation.node.unheard_ends(), 0, "seed {seed}: every end was heard");
+        assert_eq!(simulation.node.open_counts(), (0, 0), "seed {seed}: the broker holds no session");
+        assert_eq!(simulation.node.unheard_ends(), 0, "seed {seed}: every end was acknowledged");
         for status in [200, 201] {
             assert!(simulation.statuses.contains_key(&status), "seed {seed}: {:?}", simulation.statuses);
         }
@@ -392,7 +393,7 @@
         set_up += simulation.sessions.len();
         answered += simulation.answered;
     }
-    // The share that no broker could know of: answers that were cut before their head was whole.
+    // The sessions that no broker could know of: their answers were cut before the head was complete.
     assert!(set_up > 1500 && answered > 4000, "{set_up} set up, {answered} answers");
     assert!(stranded * 5 < set_up, "{stranded} of {set_up}");
     println!("{set_up} set up, {answered} answers, {stranded} stranded");
