--- a/src/net/board.rs
+++ b/src/net/board.rs
@@ -51,9 +51,11 @@
 
 /// Follows the board on one connection. Returns the reason code of its end.
 async fn follow_connection(shared: &Handle, address: SocketAddr) -> io::Result<&'static str> {
-    let connected =
-        with_timeout(to_duration(shared.timings.get().board_connect), Async::<TcpStream>::connect(address))
-            .await?;
+    let connected = with_timeout(
+        to_duration(shared.timings.get().board_connect_timeout),
+        Async::<TcpStream>::connect(address),
+    )
+    .await?;
     let stream = Rc::new(connected);
     let request = shared.board.borrow_mut().request(shared.now(), &address.to_string());
     with_timeout(to_duration(board::SILENCE), (&*stream).write_all(&request)).await?;
--- a/src/net/conns.rs
+++ b/src/net/conns.rs
@@ -96,14 +96,14 @@
                     let completed = outbox.advance(n);
                     if !completed.sessions.is_empty() {
                         let now = shared.now();
-                        shared.node.borrow_mut().written_whole(now, conn, &completed.sessions);
+                        shared.node.borrow_mut().record_fully_written(now, conn, &completed.sessions);
                     }
                     completed.withdrawals.iter().for_each(|id| report_withdrawn(shared, conn, *id));
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     // An answer is useful to a client for as long as the client waits for it.
                     let timeout = match peer_kind {
-                        PeerKind::Client => to_duration(shared.timings.get().client_stalled),
+                        PeerKind::Client => to_duration(shared.timings.get().client_stall_timeout),
                         PeerKind::Server => WRITE_TIMEOUT,
                     };
                     match with_timeout(timeout, stream.writable()).await {
@@ -153,7 +153,7 @@
 /// Connects to an edge server and runs the connection until it ends.
 pub(super) async fn dial_server(shared: Handle, conn: ConnId, address: SocketAddr, outbox: Rc<Outbox>) {
     let peer = format!("edge:{address}");
-    let timeout = to_duration(shared.timings.get().connect);
+    let timeout = to_duration(shared.timings.get().connect_timeout);
     let slot = async { Ok(ServerSlot::acquire(&shared).await) };
     let Ok(_slot) = with_timeout(timeout, slot).await else {
         return report_end(&shared, conn, &peer, "no-room", ConnectionEnd::Unopened);
@@ -195,7 +195,7 @@
     let _ = stream.get_ref().set_nodelay(true);
     let stream = Rc::new(stream);
     let outbox = Rc::new(Outbox::new(&shared.queue_limits.clients));
-    let conn = step(&shared, |node, _, _| node.number());
+    let conn = step(&shared, |node, _, _| node.allocate_conn_id());
     shared.outboxes.borrow_mut().insert(conn, outbox.clone());
     shared.client_streams.borrow_mut().insert(conn, stream.clone());
     step(&shared, |node, now, _| node.accepted(now, conn, protocol));
--- a/src/net/ending.rs
+++ b/src/net/ending.rs
@@ -10,7 +10,7 @@
 use super::handover::Handover;
 use super::outbox::Notify;
 use super::{Handle, step};
-use crate::node::{HeldRequest, Remaining};
+use crate::node::{Remaining, UnansweredRequest};
 use crate::operate::planned_end::{KillPolicy, RemainingWork, ShutdownPlan, Step};
 
 /// The time between checks of the remaining work.
@@ -76,7 +76,7 @@
                 // Nothing else runs between the count of the remaining work and this step: a request that comes from
                 // now on is refused.
                 Step::CloseDoors => step(shared, |node, _, out| node.start_refusing(out)),
-                Step::Release => step(shared, |node, now, out| node.end(now, out)),
+                Step::Release => step(shared, |node, now, out| node.shut_down(now, out)),
                 Step::Exit => {
                     report_task.cancel().await;
                     log_remaining(shared, plan);
@@ -103,7 +103,9 @@
     let now = shared.now();
     let left_ms = (plan.kill_at() - now).0 / 1000;
     info!(event = "ending", unanswered, playing, clients, unheard_ends, unwritten, left_ms);
-    for HeldRequest { id, class, conn, server, due } in shared.node.borrow().last_due(MAX_REPORTED_REQUESTS) {
+    for UnansweredRequest { id, class, conn, server, due } in
+        shared.node.borrow().last_due(MAX_REPORTED_REQUESTS)
+    {
         let (id, due_in_ms) = (format!("{:016x}", id.0), (due - now).0 / 1000);
         let conn = conn.map_or(0, |conn| conn.0);
         let server = server.map_or_else(|| "none".to_owned(), |server| server.to_string());
--- a/src/net/files.rs
+++ b/src/net/files.rs
@@ -69,7 +69,7 @@
 /// Logs a new generation of the server list and passes it to the node.
 pub(super) fn announce(shared: &Handle, taken: GenerationChange) {
     log_generation(&taken);
-    step(shared, |node, now, out| node.news(now, taken.news, out));
+    step(shared, |node, now, out| node.update_server_list(now, taken.news, out));
     shared.list_changed.notify();
 }
 
@@ -234,7 +234,7 @@
                         .clone()
                         .map(|c| shared.roster.borrow_mut().restore(now, saved.generation, c, &started));
                     if let Some(OfferOutcome::Taken(taken)) = outcome {
-                        step(shared, |node, now, out| node.news(now, taken.news, out));
+                        step(shared, |node, now, out| node.update_server_list(now, taken.news, out));
                     }
                     self.adopt(shared, lists);
                 }
@@ -386,11 +386,11 @@
         }
         let removals = {
             let node = shared.node.borrow();
-            shared.roster.borrow_mut().part(now, |id| node.busy(id))
+            shared.roster.borrow_mut().part(now, |id| node.has_sessions_at(id))
         };
         if let Some(update) = removals {
             info!(event = "list.parted", servers = update.servers.len());
-            step(&shared, |node, now, out| node.news(now, update, out));
+            step(&shared, |node, now, out| node.update_server_list(now, update, out));
         }
     }
 }
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -193,7 +193,7 @@
 pub(super) async fn start(shared: Handle, handover: Rc<Handover>) {
     let max_sessions = step(&shared, |node, _, _| {
         node.await_predecessor();
-        node.most_sessions()
+        node.max_sessions()
     });
     let successor = Successor::new(shared.now(), handover.started, max_sessions);
     let deadline = successor.deadline();
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -144,7 +144,7 @@
         let mut node = shared.node.borrow_mut();
         if node.has_rules() {
             // The boot clock is read for each step, so that a decision after a stall uses the time after the stall.
-            node.set_boot(quorum::boot_now());
+            node.set_boot_time(quorum::boot_now());
         }
         (act(&mut node, now, &mut commands), node.take_log(), node.take_trace(), node.take_messages())
     };
--- a/src/net/run.rs
+++ b/src/net/run.rs
@@ -79,7 +79,7 @@
 ) -> Option<Rc<RefCell<files::WatchedFiles>>> {
     let watched = config.watch.clone().map(|watch_config| files::start(shared, config, watch_config));
     if config.board.is_some() || config.eureka.is_some() || watched.is_some() {
-        step(shared, |node, now, _| node.awaits_list(now));
+        step(shared, |node, now, _| node.await_list(now));
     }
     if !config.servers.is_empty() {
         files::offer(shared, Source::Fixed, complete_list(config.servers.clone()));
@@ -139,7 +139,7 @@
     };
     let handle = shared.clone();
     let on_rules = move |standing: LocalRules| {
-        step(&handle, |node, now, out| node.ruled(now, standing, out));
+        step(&handle, |node, now, out| node.set_rules(now, standing, out));
     };
     let quorum = quorum::start(
         &shared.executor,
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -21,7 +21,7 @@
 fn accept_client(shared: &Handle, listener: &TcpListener) -> (ConnId, Async<TcpStream>, Rc<Outbox>) {
     let stream = Async::new(listener.accept().unwrap().0).unwrap();
     let outbox = Rc::new(Outbox::new(&shared.queue_limits.clients));
-    let conn = step(shared, |node, _, _| node.number());
+    let conn = step(shared, |node, _, _| node.allocate_conn_id());
     shared.outboxes.borrow_mut().insert(conn, outbox.clone());
     step(shared, |node, now, _| node.accepted(now, conn, Protocol::Platform));
     (conn, stream, outbox)
@@ -75,7 +75,7 @@
     assert_eq!(async_io::block_on(drive(&shared, conn, &stream, &outbox, PeerKind::Server)), "replaced");
     drop(stream);
     late_request.join().unwrap();
-    assert_eq!(shared.node.borrow().held(), (1, 0), "the late request was handled");
+    assert_eq!(shared.node.borrow().open_counts(), (1, 0), "the late request was handled");
 }
 
 /// Guards against a connection that is closed over a request in the receive buffer: the request is handled and the
@@ -90,7 +90,7 @@
     outbox.close_if_quiet("idle");
     drop(peer);
     assert_eq!(async_io::block_on(drive(&shared, conn, &stream, &outbox, PeerKind::Client)), "end-of-stream");
-    assert_eq!(shared.node.borrow().held(), (1, 0), "the request was handled before the end");
+    assert_eq!(shared.node.borrow().open_counts(), (1, 0), "the request was handled before the end");
     // A connection without unread input is closed.
     let peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let stream = Async::new(listener.accept().unwrap().0).unwrap();
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -1,114 +1,119 @@
-//! The hand-over of a broker from one process to the next, at either of them: sessions that stand are passed, and
-//! what is heard of them where they no longer are.
+//! The hand-over of a broker from one process to the next, on either side: established sessions are
+//! transferred, and messages about a transferred session are forwarded to the process that holds it.
 
-use super::{Node, named};
+use super::{Node, name_at};
 use crate::api::*;
-use crate::broker::{Effect as Done, Input};
+use crate::broker::{Effect, Input};
 use crate::operate::handover::{
     Message, SessionTransfer, note_number, numbered_note, status_word, worded_status,
 };
-use crate::platform::links::{Command, ServerMessage, status};
+use crate::platform::links::{Command, ServerMessage, release_status};
 
 impl Node {
-    /// This process asks another, or nobody, whether it may serve.
+    /// Marks this process as not serving until its predecessor, if there is one, has yielded.
     pub fn await_predecessor(&mut self) {
         self.phase.start();
     }
 
-    /// Sessions that memory allows at most.
-    pub fn most_sessions(&self) -> usize {
+    /// The number of sessions that the memory allows.
+    pub fn max_sessions(&self) -> usize {
         self.broker.most_sessions()
     }
 
-    /// It serves from now on.
+    /// Starts to serve.
     pub fn start_serving(&mut self) {
         self.phase.serve();
     }
 
-    /// It may take turns at cold servers that begin from now on.
+    /// Takes the warm-up turns at servers that begin from now on.
     pub fn take_warm_up_turns(&mut self, now: Micros, out: &mut Vec<Command>) {
-        self.tell(now, Input::WarmUpTurnsFrom(now), out);
+        self.handle_input(now, Input::WarmUpTurnsFrom(now), out);
     }
 
-    /// Another process serves from now on: no turn at cold servers is taken any more, what stands is passed, and
-    /// clients' connections are let go.
+    /// Yields to the next process: takes no more warm-up turns, hands over the established sessions, and
+    /// closes client connections.
     pub fn yield_to_successor(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.phase.yields();
-        self.let_go_at = now;
-        self.tell(now, Input::WarmUpTurnsFrom(Micros::MAX), out);
-        let standing: Vec<SessionId> = self.broker.established_ids();
-        for id in standing {
-            self.pass(now, id, out);
+        self.next_drain_check = now;
+        self.handle_input(now, Input::WarmUpTurnsFrom(Micros::MAX), out);
+        let established: Vec<SessionId> = self.broker.established_ids();
+        for id in established {
+            self.hand_over_session(now, id, out);
         }
     }
 
-    /// The other process is gone: this one serves again. Sessions that were passed play on and are named again by
-    /// their clients. A turn at a cold server that began before may have been the other's; those that begin from now on
-    /// are this process's, also if it was told to end: whoever comes next asks it at the meeting point first.
+    /// Serves again after the other process has exited. Sessions that were handed over play on, and their
+    /// clients name them again. A warm-up turn that began earlier may belong to the other process. Turns that
+    /// begin from now on belong to this one, even if it was told to end: the next process asks it at the
+    /// meeting point before it serves.
     pub fn resume_serving(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.phase.resumes();
-        self.let_go_at = self.phase.lets_go_from().unwrap_or(Micros::MAX);
-        self.passed.clear();
-        self.tell(now, Input::WarmUpTurnsFrom(now), out);
+        self.next_drain_check = self.phase.lets_go_from().unwrap_or(Micros::MAX);
+        self.handed_over.clear();
+        self.handle_input(now, Input::WarmUpTurnsFrom(now), out);
     }
 
-    /// Passes a session that stands to the process that serves now.
-    pub(super) fn pass(&mut self, now: Micros, id: SessionId, out: &mut Vec<Command>) {
-        // Those of the HTTP front stay: their clients know an address of this process.
-        if self.owned_by_whip(id) {
+    /// Transfers an established session to the process that serves now.
+    pub(super) fn hand_over_session(&mut self, now: Micros, id: SessionId, out: &mut Vec<Command>) {
+        // Sessions of the HTTP front stay: their clients know an address of this process.
+        if self.is_whip_session(id) {
             return;
         }
         let Some((request, server, rung)) = self.broker.established_session(id) else { return };
-        let class = named(&self.names.classes, request.class);
-        let tenant = named(&self.names.tenants, request.tenant);
-        let passed = SessionTransfer::new(&request, class, tenant, &server, rung);
-        self.messages.push(Message::Session(passed));
-        self.passed.insert(id, server);
-        self.forget(id);
-        self.tell(now, Input::HandedOver(id), out);
-    }
-
-    /// Takes a session that another process held.
-    pub fn adopt_session(&mut self, now: Micros, passed: &SessionTransfer, out: &mut Vec<Command>) {
-        let class = self.names.class(&passed.class);
-        let tenant = self.names.tenant(&passed.tenant).unwrap_or(0);
-        let (id, server) = (SessionId(passed.id), ServerId::new(&passed.server));
+        let class = name_at(&self.names.classes, request.class);
+        let tenant = name_at(&self.names.tenants, request.tenant);
+        let transfer = SessionTransfer::new(&request, class, tenant, &server, rung);
+        self.messages.push(Message::Session(transfer));
+        self.handed_over.insert(id, server);
+        self.forget_session(id);
+        self.handle_input(now, Input::HandedOver(id), out);
+    }
+
+    /// Takes over a session from another process.
+    pub fn adopt_session(&mut self, now: Micros, transfer: &SessionTransfer, out: &mut Vec<Command>) {
+        let class = self.names.class(&transfer.class);
+        let tenant = self.names.tenant(&transfer.tenant).unwrap_or(0);
+        let (id, server) = (SessionId(transfer.id), ServerId::new(&transfer.server));
         let Some(class) = class else {
-            // This process has no such class: its client hears that it is over, and comes again.
+            // This process has no such class. The client is told that the session is over, and asks again.
             self.links.release(now, id, &server, out);
-            return self.carry_out(now, Done::Ended(id, Status::Reset), out);
+            return self.apply_effect(now, Effect::Ended(id, Status::Reset), out);
         };
-        self.tell(now, Input::ExistingSession(passed.request(class, tenant), server.clone()), out);
-        if let Some(rung) = passed.rung {
-            self.tell(now, Input::Note { id, server: server.clone(), note: Note::Rung(Rung(rung)) }, out);
+        self.handle_input(now, Input::ExistingSession(transfer.request(class, tenant), server.clone()), out);
+        if let Some(rung) = transfer.rung {
+            self.handle_input(
+                now,
+                Input::Note { id, server: server.clone(), note: Note::Rung(Rung(rung)) },
+                out,
+            );
         }
-        // The next version serves already: it goes on to that.
+        // A newer process serves already: the session goes on to that one.
         if self.phase.yielded() {
-            return self.pass(now, id, out);
+            return self.hand_over_session(now, id, out);
         }
         let before = out.len();
-        // A server that drains may turn new connections down though its sessions play.
+        // A draining server may refuse new connections while its sessions play.
         self.links.ensure_connected_after_handover(now, &server, out);
-        self.dialled(now, &server, "notes", &out[before..]);
+        self.trace_dials(now, &server, "notes", &out[before..]);
     }
 
-    /// What the other process heard of a session that is here now.
+    /// Handles a message of the other process about a session that is held here now.
     pub fn handle_forwarded(&mut self, now: Micros, message: &Message, out: &mut Vec<Command>) {
         if let Message::Over { id, .. } | Message::Noted { id, .. } = message
-            && self.passed.contains_key(&SessionId(*id))
+            && self.handed_over.contains_key(&SessionId(*id))
         {
-            return self.forward(message.clone());
+            return self.forward_message(message.clone());
         }
         match message {
             Message::Over { id, server, how } => {
                 let (server, status) = (ServerId::new(server), worded_status(how));
                 let load = Load::default();
-                self.tell(now, Input::Ended { id: SessionId(*id), server, status, load }, out);
+                self.handle_input(now, Input::Ended { id: SessionId(*id), server, status, load }, out);
             }
             Message::Noted { id, server, note, figure } => {
                 if let Some(note) = numbered_note(*note, *figure) {
                     let server = ServerId::new(server);
-                    self.tell(now, Input::Note { id: SessionId(*id), server, note }, out);
+                    self.handle_input(now, Input::Note { id: SessionId(*id), server, note }, out);
                 }
             }
             Message::Left { id } => self.client_left_at_peer(now, *id, out),
@@ -116,49 +121,55 @@
         }
     }
 
-    /// A client left a session, as the other process heard.
+    /// Handles the report of the other process that a client has left a session.
     pub fn client_left_at_peer(&mut self, now: Micros, id: u64, out: &mut Vec<Command>) {
         let id = SessionId(id);
         if self.broker.knows(id) {
-            self.forget(id);
-            self.tell(now, Input::ClientLeft(id), out);
+            self.forget_session(id);
+            self.handle_input(now, Input::ClientLeft(id), out);
         }
     }
 
-    /// Whether a client waits here for an answer, or has a connection that it may ask on; or a server that drains
-    /// can tell of what it still plays nowhere else, as it turns new connections down.
+    /// Whether this process is still needed: a client waits for an answer or has an open connection, a write
+    /// to a server is queued, or a draining server with sessions that were handed over is connected here.
+    /// Such a server refuses new connections, so this is the only way for its messages.
     pub fn has_waiting_clients(&self) -> bool {
         self.broker.unanswered() > 0
             || !self.viewers.is_empty()
-            || self.links.waiting()
-            || self.passed.values().any(|server| self.drains(server) && self.links.reaches(server))
+            || self.links.has_queued_writes()
+            || self
+                .handed_over
+                .values()
+                .any(|server| self.is_draining(server) && self.links.is_connected_to(server))
             || self.whip.as_ref().is_some_and(|whip| !whip.idle())
     }
 
-    fn drains(&self, server: &ServerId) -> bool {
+    /// Whether the server list has a server as draining.
+    fn is_draining(&self, server: &ServerId) -> bool {
         self.servers.get(server).is_some_and(|(state, _)| *state == ServerState::Draining)
     }
 
-    /// What the other process is to hear since the last call.
+    /// Returns the messages for the other process since the last call.
     pub fn take_messages(&mut self) -> Vec<Message> {
         std::mem::take(&mut self.messages)
     }
 
-    /// A client left a session that is not here: perhaps it is at the other process.
-    pub(super) fn stray(&mut self, id: SessionId) {
+    /// Tells the other process that a client left a session that is not held here, as the other process may
+    /// hold it.
+    pub(super) fn forward_client_left(&mut self, id: SessionId) {
         self.messages.push(Message::Left { id: id.0 });
     }
 
-    /// Whether what a server says concerns a session that was passed; it is passed too then.
-    pub(super) fn passes_on(&mut self, heard: &ServerMessage) -> bool {
-        let id = match heard {
+    /// Forwards a server's message if its session was handed over. Returns whether it was.
+    pub(super) fn forward_if_handed_over(&mut self, said: &ServerMessage) -> bool {
+        let id = match said {
             ServerMessage::Release(id, ..) | ServerMessage::Note(id, _) => *id,
             ServerMessage::Answer(..) => return false,
         };
-        let Some(server) = self.passed.get(&id).map(|server| server.0.to_string()) else { return false };
-        let message = match heard {
+        let Some(server) = self.handed_over.get(&id).map(|server| server.0.to_string()) else { return false };
+        let message = match said {
             ServerMessage::Release(id, cause, _) => {
-                let how = status_word(status(*cause, true)).to_owned();
+                let how = status_word(release_status(*cause, true)).to_owned();
                 Message::Over { id: id.0, server, how }
             }
             ServerMessage::Note(id, note) => {
@@ -167,14 +178,14 @@
             }
             ServerMessage::Answer(..) => return false,
         };
-        self.forward(message);
+        self.forward_message(message);
         true
     }
 
-    /// Word of a session that was passed goes where it went.
-    fn forward(&mut self, message: Message) {
+    /// Queues a message about a handed-over session for the process that holds it.
+    fn forward_message(&mut self, message: Message) {
         if let Message::Over { id, .. } = &message {
-            self.passed.remove(&SessionId(*id));
+            self.handed_over.remove(&SessionId(*id));
         }
         self.messages.push(message);
     }
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -1,4 +1,4 @@
-//! Edge servers and media servers: the list of them, their connections, and what they tell.
+//! Edge servers and media servers: the server list, their connections, and their messages.
 
 use std::collections::BTreeSet;
 
@@ -6,81 +6,83 @@
 use crate::api::*;
 use crate::broker::{Input, SetUp};
 use crate::edge::PoolEvent;
-use crate::platform::links::{Command, ServerMessage, Withdrawal, status};
+use crate::platform::links::{Command, ServerMessage, Withdrawal, release_status};
 use crate::roster::ListUpdate;
 
 impl Node {
-    /// Tells of the connections to a server that are among fresh commands.
-    pub(super) fn dialled(&mut self, now: Micros, server: &ServerId, why: &str, fresh: &[Command]) {
+    /// Traces each connection to a server that these commands open.
+    pub(super) fn trace_dials(&mut self, now: Micros, server: &ServerId, why: &str, commands: &[Command]) {
         if let Some(tracer) = &mut self.tracer {
-            let dials = fresh.iter().filter(|c| matches!(c, Command::Dial(..)));
+            let dials = commands.iter().filter(|c| matches!(c, Command::Dial(..)));
             dials.for_each(|_| tracer.dial(now, server, why));
         }
     }
 
-    /// Servers with sessions must be heard of: one that is silent is tried, and each needs a way for its notes.
-    pub(super) fn look(&mut self, now: Micros, out: &mut Vec<Command>) {
-        // Those that speak WHIP or WHEP have no connection of their own to be heard on.
-        let spoken = self.servers.keys().filter(|s| !self.pool.serves(s));
-        let busy: Vec<ServerId> = spoken.filter(|s| self.broker.has_established_at(s)).cloned().collect();
-        let connected = self.links.connected();
-        for server in self.links.silent(now, busy.iter().cloned()) {
-            self.check(now, &server, out);
+    /// Checks the servers that hold sessions: those that are silent, and those without a connection, as their
+    /// notes need one.
+    pub(super) fn check_silent_servers(&mut self, now: Micros, out: &mut Vec<Command>) {
+        // Servers that speak WHIP or WHEP have no permanent connection that could be silent.
+        let platform_servers = self.servers.keys().filter(|s| !self.pool.serves(s));
+        let busy: Vec<ServerId> =
+            platform_servers.filter(|s| self.broker.has_established_at(s)).cloned().collect();
+        let connected = self.links.connected_servers();
+        for server in self.links.silent_servers(now, busy.iter().cloned()) {
+            self.check_server(now, &server, out);
         }
         for server in busy.into_iter().filter(|s| !connected.contains(s)) {
-            self.check(now, &server, out);
+            self.check_server(now, &server, out);
         }
     }
 
-    /// Descriptors are short: a connection to a server where nothing plays makes room.
+    /// Closes a connection to a server without sessions when descriptors are short.
     pub fn close_idle_link(&mut self, out: &mut Vec<Command>) {
         let broker = &self.broker;
         self.links.close_idle(|server| broker.has_established_at(server), out);
     }
 
-    /// Finds out by one more connection whether a server is lost.
-    pub(super) fn check(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) {
+    /// Opens another connection to find out whether a server is lost.
+    pub(super) fn check_server(&mut self, now: Micros, server: &ServerId, out: &mut Vec<Command>) {
         let before = out.len();
-        let there = self.links.check(now, server, out);
-        self.dialled(now, server, "check", &out[before..]);
-        if !there {
-            self.tell(now, Input::ServerLost(server.clone()), out);
+        let has_address = self.links.check_server(now, server, out);
+        self.trace_dials(now, server, "check", &out[before..]);
+        if !has_address {
+            self.handle_input(now, Input::ServerLost(server.clone()), out);
         }
     }
 
-    /// News of the list of servers.
-    pub fn news(&mut self, now: Micros, news: ListUpdate, out: &mut Vec<Command>) {
-        if !news.servers.is_empty() {
+    /// Applies an update of the server list.
+    pub fn update_server_list(&mut self, now: Micros, update: ListUpdate, out: &mut Vec<Command>) {
+        if !update.servers.is_empty() {
             self.phase.listed();
         }
         let mut lost = Vec::new();
-        if news.kind == ListKind::Complete {
-            let named: BTreeSet<&ServerId> = news.servers.iter().map(|l| &l.entry.id).collect();
-            lost.extend(self.servers.keys().filter(|id| !named.contains(id)).cloned());
+        if update.kind == ListKind::Complete {
+            let listed: BTreeSet<&ServerId> = update.servers.iter().map(|l| &l.entry.id).collect();
+            lost.extend(self.servers.keys().filter(|id| !listed.contains(id)).cloned());
             for id in &lost {
                 self.servers.remove(id);
                 self.links.forget(id);
                 self.pool.forget(id);
             }
         }
-        for listed in &news.servers {
+        for listed in &update.servers {
             let (id, state, up) = (&listed.entry.id, listed.entry.state, listed.entry.up_since);
             match &listed.paths {
                 Some(paths) => {
                     let moved = self.pool.listed(id, listed.address, paths, state, out);
-                    let other = moved || self.links.knows(id);
+                    let is_replaced = moved || self.links.knows(id);
                     self.links.forget(id);
-                    lost.extend(other.then(|| id.clone()));
+                    lost.extend(is_replaced.then(|| id.clone()));
                 }
                 None => {
-                    let other = self.pool.serves(id) && state != ServerState::Gone;
+                    let is_replaced = self.pool.serves(id) && state != ServerState::Gone;
                     self.pool.forget(id);
-                    lost.extend(other.then(|| id.clone()));
+                    lost.extend(is_replaced.then(|| id.clone()));
                     lost.extend(self.links.listed(id, listed.address, state, out));
                 }
             }
-            // One that is gone, or has started anew, holds nothing of what stood there before. It need not have
-            // reset its connections: they may stay open and silent.
+            // A server that is gone or has restarted no longer holds its earlier sessions. It may not have
+            // reset its connections, which can stay open and silent.
             let before = self.servers.insert(id.clone(), (state, up));
             if state == ServerState::Gone {
                 self.servers.remove(id);
@@ -91,76 +93,88 @@
         }
         for server in lost {
             self.pool.lost(now, &server, false, out);
-            self.tell(now, Input::ServerLost(server), out);
+            self.handle_input(now, Input::ServerLost(server), out);
         }
-        let servers: Vec<ServerEntry> = news.servers.into_iter().map(|l| l.entry).collect();
-        let servers = self.allowed(servers);
+        let servers: Vec<ServerEntry> = update.servers.into_iter().map(|l| l.entry).collect();
+        let servers = self.apply_barred(servers);
         if let Some(tracer) = &mut self.tracer {
             tracer.listed(&servers);
-            if news.kind == ListKind::Complete {
+            if update.kind == ListKind::Complete {
                 tracer.only(|id| self.servers.contains_key(id));
             }
         }
-        self.tell(now, Input::Servers { kind: news.kind, servers }, out);
+        self.handle_input(now, Input::Servers { kind: update.kind, servers }, out);
     }
 
-    /// What servers that speak WHIP or WHEP tell.
-    pub(super) fn told(&mut self, now: Micros, told: Vec<PoolEvent>, out: &mut Vec<Command>) {
-        for told in told {
-            match told {
+    /// Handles events of servers that speak WHIP or WHEP.
+    pub(super) fn handle_pool_events(&mut self, now: Micros, events: Vec<PoolEvent>, out: &mut Vec<Command>) {
+        for event in events {
+            match event {
                 PoolEvent::Answer(id, server, answer) => {
-                    self.tell(now, Input::Established { id, server, answer }, out)
+                    self.handle_input(now, Input::Established { id, server, answer }, out)
                 }
                 PoolEvent::Ended(id, server, status, load) => {
-                    self.tell(now, Input::Ended { id, server, status, load }, out);
+                    self.handle_input(now, Input::Ended { id, server, status, load }, out);
+                }
+                PoolEvent::Note(id, server, note) => {
+                    self.handle_input(now, Input::Note { id, server, note }, out)
                 }
-                PoolEvent::Note(id, server, note) => self.tell(now, Input::Note { id, server, note }, out),
                 PoolEvent::Refused(server) => {
-                    // One that drains may turn connections down while its sessions play.
+                    // A draining server may refuse connections while its sessions play.
                     let ready = self.servers.get(&server).is_some_and(|(s, _)| *s == ServerState::Ready);
                     if ready && self.broker.has_established_at(&server) {
                         self.pool.lost(now, &server, true, out);
-                        self.tell(now, Input::ServerLost(server), out);
+                        self.handle_input(now, Input::ServerLost(server), out);
                     }
                 }
                 PoolEvent::Patched(conn, id, answer) => {
-                    self.whip(now, out, |whip, _, wishes| whip.patched(conn, id, answer, wishes));
-                    self.whip(now, out, |whip, sure, wishes| whip.read_on(now, sure, wishes));
+                    self.with_whip(now, out, |whip, _, actions| whip.patched(conn, id, answer, actions));
+                    self.with_whip(now, out, |whip, nothing_ran, actions| {
+                        whip.read_on(now, nothing_ran, actions)
+                    });
                 }
                 PoolEvent::Log(line) => self.log.push(line),
             }
         }
     }
 
-    /// Ends that servers have not heard yet.
-    pub fn ending(&self) -> usize {
+    /// The number of session ends that media servers have not acknowledged.
+    pub fn unheard_ends(&self) -> usize {
         self.pool.ending()
     }
 
-    pub(super) fn heard(
+    /// Handles a message of an edge server.
+    pub(super) fn handle_server_message(
         &mut self,
         now: Micros,
         server: &ServerId,
-        heard: ServerMessage,
+        message: ServerMessage,
         out: &mut Vec<Command>,
     ) {
-        if self.passes_on(&heard) {
+        if self.forward_if_handed_over(&message) {
             return;
         }
         let server = server.clone();
-        let input = match heard {
+        let input = match message {
             ServerMessage::Answer(id, answer) => Input::Established { id, server, answer },
             ServerMessage::Release(id, cause, load) => {
-                let status = status(cause, self.broker.is_established_at(id, &server));
+                let status = release_status(cause, self.broker.is_established_at(id, &server));
                 Input::Ended { id, server, status, load }
             }
             ServerMessage::Note(id, note) => Input::Note { id, server, note },
         };
-        self.tell(now, input, out);
+        self.handle_input(now, input, out);
     }
 
-    /// Gives an attempt up. Media servers that speak WHIP know no such word: what they answer late is ended then.
-    pub(super) fn give_up(&mut self, now: Micros, id: SessionId, server: ServerId, out: &mut Vec<Command>) {
+    /// Gives up an attempt. WHIP has no message for that, so a media server's late answer is ended when it
+    /// arrives.
+    pub(super) fn give_up_attempt(
+        &mut self,
+        now: Micros,
+        id: SessionId,
+        server: ServerId,
+        out: &mut Vec<Command>,
+    ) {
         let withdrawal = if self.pool.holds(id) {
             self.pool.give_up(now, id, out);
             Withdrawal::Done
@@ -168,11 +182,12 @@
             self.links.give_up(now, id, &server, out)
         };
         if withdrawal == Withdrawal::Done {
-            self.tell(now, Input::Withdrawn { id, server }, out);
+            self.handle_input(now, Input::Withdrawn { id, server }, out);
         }
     }
 
-    pub(super) fn send(&mut self, now: Micros, set_up: &SetUp, out: &mut Vec<Command>) {
+    /// Sends a set-up to its server.
+    pub(super) fn send_set_up(&mut self, now: Micros, set_up: &SetUp, out: &mut Vec<Command>) {
         let class = self.names.classes.get(set_up.class).cloned().unwrap_or_default();
         if let Some(tracer) = &mut self.tracer {
             tracer.sent(now, set_up.id, &set_up.server, set_up.rung);
@@ -183,10 +198,10 @@
         } else {
             self.links.set_up(now, set_up, &class, out)
         };
-        self.dialled(now, &set_up.server, "set-up", &out[before..]);
+        self.trace_dials(now, &set_up.server, "set-up", &out[before..]);
         if let Err(status) = sent {
             let (id, server, load) = (set_up.id, set_up.server.clone(), Load::default());
-            self.tell(now, Input::Ended { id, server, status, load }, out);
+            self.handle_input(now, Input::Ended { id, server, status, load }, out);
         }
     }
 }
