--- a/src/module/brain/rungs.rs
+++ b/src/module/brain/rungs.rs
@@ -66,14 +66,14 @@
     }
 
     /// Returns the groups of sessions of these servers that change their rung together.
-    pub(super) fn rung_groups(&self, servers: &[usize], newcomer: Option<SessionId>) -> Vec<RungGroup> {
+    pub(super) fn rung_groups(&self, servers: &[usize], new_session: Option<SessionId>) -> Vec<RungGroup> {
         let mut groups: Vec<RungGroup> = Vec::new();
         let mut shared: BTreeMap<(usize, usize, usize, &Text), usize> = BTreeMap::new();
         let session_ids = servers.iter().flat_map(|i| &self.state.servers[*i].sessions);
         for (&id, s) in
             session_ids.map(|id| (id, &self.state.sessions[id])).filter(|(_, s)| s.phase != Phase::Answered)
         {
-            let (server, class, rung, is_new) = (s.server, s.request.class, s.rung, newcomer == Some(id));
+            let (server, class, rung, is_new) = (s.server, s.request.class, s.rung, new_session == Some(id));
             let is_interval_over =
                 s.rung_changed_at.is_none_or(|at| self.state.now >= at + MIN_CHANGE_INTERVAL);
             let may_change = is_new || is_interval_over && s.phase == Phase::Playing;
@@ -192,19 +192,16 @@
     pub(super) fn cut_rungs(
         &mut self,
         rack: usize,
-        newcomer: Option<(SessionId, f64)>,
+        new_session: Option<(SessionId, f64)>,
         out: &mut Vec<Action>,
     ) {
-        let groups = self.rung_groups(&self.state.by_rack[rack], newcomer.map(|(id, _)| id));
-        let newcomer_load =
-            newcomer.map_or((usize::MAX, 0.0), |(id, kb)| (self.state.sessions[&id].server, kb));
+        let groups = self.rung_groups(&self.state.by_rack[rack], new_session.map(|(id, _)| id));
+        let new_demand =
+            new_session.map_or((usize::MAX, 0.0), |(id, kb)| (self.state.sessions[&id].server, kb));
         let excess = |utilization: f64, kb: f64, i: Option<usize>| {
-            let added = if i.is_none_or(|i| i == newcomer_load.0) { newcomer_load.1 } else { 0.0 };
-            let (without_newcomer, share) =
-                (utilization - added / kb, self.own_share(&groups, i, utilization, kb));
-            move |limit: f64| {
-                added + (without_newcomer - limit) * kb * if without_newcomer > limit { share } else { 1.0 }
-            }
+            let added = if i.is_none_or(|i| i == new_demand.0) { new_demand.1 } else { 0.0 };
+            let (existing, share) = (utilization - added / kb, self.own_share(&groups, i, utilization, kb));
+            move |limit: f64| added + (existing - limit) * kb * if existing > limit { share } else { 1.0 }
         };
         let link =
             |i: usize| (i, excess(self.link_utilization(i), self.state.servers[i].link.capacity_kb, Some(i)));
@@ -213,7 +210,7 @@
         let targets = self.plan_changes(&groups, false, CUT_HYSTERESIS, &|group, limit, _| {
             [links[&group.server](limit), uplink(limit)]
         });
-        self.apply_changes(&groups, &targets, newcomer.map(|(id, _)| id), out);
+        self.apply_changes(&groups, &targets, new_session.map(|(id, _)| id), out);
     }
 
     /// Raises rungs, only on recent reports and only while the room left after it is this broker's to take.
@@ -246,7 +243,7 @@
         &mut self,
         groups: &[RungGroup],
         targets: &[usize],
-        newcomer: Option<SessionId>,
+        new_session: Option<SessionId>,
         out: &mut Vec<Action>,
     ) {
         for (group, &rung) in groups.iter().zip(targets).filter(|(group, rung)| group.rung != **rung) {
@@ -258,7 +255,7 @@
             for &id in &group.ids {
                 let Some(s) = self.state.sessions.get_mut(&id) else { continue };
                 s.rung = rung;
-                if newcomer != Some(id) {
+                if new_session != Some(id) {
                     s.rung_changed_at = Some(self.state.now);
                     out.push(Action::Rate { id, rung: Rung(rung) });
                 }
