--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -1,4 +1,4 @@
-//! Settings of other customers: names, numbers of classes and times that no one deployment has.
+//! Settings of other customers, with names, numbers of classes and times that no single deployment has.
 
 mod support;
 
@@ -11,23 +11,23 @@
 const UNREACHED_DEADLINE_MS: f64 = 20_000.0;
 
 fn class(name: &str, paid: bool) -> Value {
-    let effect = if paid { "non_idempotent" } else { "read_like" };
-    json!({"Name": name, "Slo": 900.0, "Deadline": UNREACHED_DEADLINE_MS, "Effect": effect})
+    let idempotency = if paid { "non_idempotent" } else { "read_like" };
+    json!({"Name": name, "Slo": 900.0, "Deadline": UNREACHED_DEADLINE_MS, "Effect": idempotency})
 }
 
-fn settings_of(classes: &[Value], tenants: &[&str]) -> Value {
+fn settings_with(classes: &[Value], tenants: &[&str]) -> Value {
     let mut settings = settings_with_spare_uplink(UNREACHED_DEADLINE_MS);
     settings["RequestClasses"] = json!(classes);
     settings["Tenants"] = tenants.iter().map(|name| json!({"Name": name})).collect();
     settings
 }
 
-fn started(edge: &Edge, settings: &Value) -> Program {
+fn start_program(edge: &Edge, settings: &Value) -> Program {
     let more = json!({"console": "127.0.0.1:0", "settings": settings});
     Program::platform_with_config(&[edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"])
 }
 
-fn ask_as(stream: &mut TcpStream, id: u64, class: &str, tenant: Option<&str>) -> Value {
+fn request_as(stream: &mut TcpStream, id: u64, class: &str, tenant: Option<&str>) -> Value {
     use std::io::Write;
     let mut fields = json!({"class": class, "left": 15_000, "key": "k", "extras": "home:0;copies:3;top:1"});
     if let Some(tenant) = tenant {
@@ -38,26 +38,27 @@
     final_answer(stream, id).expect("one answer")
 }
 
-/// Names that differ in case, length and script alone are different names, and are passed on as they are.
+/// Guards against names being normalised: names that differ only in case, length or script are different, and
+/// are passed on unchanged.
 #[test]
-fn names_are_the_settings_own() {
+fn distinguishes_class_and_tenant_names_exactly() {
     let long = "tide-tables-of-all-harbours-".repeat(20);
     let names = ["Überfahrt", "überfahrt", "x", "X", "船", &long, "a b", "a;b:c", "0"];
     let classes: Vec<Value> = names.iter().map(|name| class(name, false)).collect();
     let tenants = ["Nord", "nord", "Süd", "南"];
     let edge = Edge::start(EdgeBehaviour::Answers);
-    let program = started(&edge, &settings_of(&classes, &tenants));
+    let program = start_program(&edge, &settings_with(&classes, &tenants));
     let mut client = program.connect("viewer");
     for (n, name) in names.iter().enumerate() {
-        let heard = ask_as(&mut client, n as u64 + 1, name, Some(tenants[n % 4]));
-        assert_eq!(heard["type"], "answer", "{name}");
+        let answer = request_as(&mut client, n as u64 + 1, name, Some(tenants[n % 4]));
+        assert_eq!(answer["type"], "answer", "{name}");
     }
-    let offers: Vec<String> = edge.set_ups().into_iter().map(|(_, offer)| offer).collect();
-    assert_eq!(offers, names);
-    // Those that are none of the settings' fail, and never run.
+    let received_offers: Vec<String> = edge.set_ups().into_iter().map(|(_, offer)| offer).collect();
+    assert_eq!(received_offers, names);
+    // Names that are not in the settings fail, and never run.
     for (n, (name, tenant)) in [("ÜBERFAHRT", "Nord"), ("y", "Nord"), ("x", "NORD")].into_iter().enumerate()
     {
-        assert_eq!(ask_as(&mut client, 100 + n as u64, name, Some(tenant))["type"], "release", "{name}");
+        assert_eq!(request_as(&mut client, 100 + n as u64, name, Some(tenant))["type"], "release", "{name}");
     }
     assert_eq!(edge.set_ups().len(), names.len());
     let figures = program.call("vars\n");
@@ -65,30 +66,31 @@
 }
 
 #[test]
-fn one_class_without_tenants_and_two_hundred_classes_are_served() {
+fn serves_one_class_without_tenants_and_two_hundred_classes() {
     for count in [1, 200] {
         let classes: Vec<Value> = (0..count).map(|n| class(&format!("c{n}"), n % 2 == 0)).collect();
         let edge = Edge::start(EdgeBehaviour::Answers);
-        let program = started(&edge, &settings_of(&classes, &[]));
+        let program = start_program(&edge, &settings_with(&classes, &[]));
         let mut client = program.connect("viewer");
         for (id, n) in (1..).zip([0, count / 2, count - 1]) {
-            let heard = ask_as(&mut client, id, &format!("c{n}"), None);
-            assert_eq!(heard["type"], "answer", "c{n} of {count}");
+            let answer = request_as(&mut client, id, &format!("c{n}"), None);
+            assert_eq!(answer["type"], "answer", "c{n} of {count}");
         }
     }
 }
 
-/// Where servers close idle connections soon, one is used again all the same. Seen to fail before: three seconds were
-/// kept away from the end whatever the settings said, so that with three or less each set-up had a connection of its own.
+/// Guards against set-ups that each open a connection where servers close idle ones after three seconds or
+/// less. A fixed margin of three seconds before the close once left no time in which a connection could be
+/// reused.
 #[test]
-fn connections_are_used_again_where_servers_close_idle_ones_soon() {
+fn reuses_connections_when_servers_close_idle_ones_soon() {
     let edge = Edge::start(EdgeBehaviour::Answers);
-    let mut settings = settings_of(&[class("only", false)], &["home"]);
+    let mut settings = settings_with(&[class("only", false)], &["home"]);
     settings["Limits"]["Keepalive"] = json!(2_500.0);
-    let program = started(&edge, &settings);
+    let program = start_program(&edge, &settings);
     let mut client = program.connect("viewer");
     for id in 1..=10 {
-        assert_eq!(ask_as(&mut client, id, "only", Some("home"))["type"], "answer");
+        assert_eq!(request_as(&mut client, id, "only", Some("home"))["type"], "answer");
     }
     assert_eq!(edge.connections(), 1);
 }
