--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A front for tests: a module, a clock and what it was told to do.
+//! A test harness for the decision module: the module, a clock, and the actions it returned.
 #![allow(dead_code)] // each test file uses its own part
 
 use amberspindle::api::*;
@@ -51,7 +51,7 @@
 }
 
 impl ModuleHarness {
-    /// A front that knows `servers` warm servers, one a cell.
+    /// Returns a harness whose module knows `servers` warm servers, one per cell.
     pub fn new(settings: Settings, servers: u32) -> ModuleHarness {
         let mut front = ModuleHarness::bare(settings, 1);
         front.list((0..servers).map(|n| ServerEntry::new(server(n), ServerState::Ready, n)).collect());
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Hands an event over; gives what it led to.
+    /// Passes an event to the module; returns the resulting actions.
     pub fn tell(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.brain.handle(self.now, event, &mut out);
@@ -80,7 +80,7 @@
         out
     }
 
-    /// Lets time pass, timers running down; gives what that led to.
+    /// Advances the clock and runs the timers that expire; returns the resulting actions.
     pub fn pass(&mut self, span: Micros) -> Vec<Action> {
         let (end, from) = (self.now + span, self.out.len());
         while let Some(at) = self.timers.iter().copied().filter(|at| *at <= end).min() {
@@ -107,7 +107,7 @@
         self.tell(Event::Request(request))
     }
 
-    /// Asks, and lets the server that is chosen start the session; gives the server.
+    /// Requests a session and lets the chosen server complete the set-up; returns the server.
     pub fn play(&mut self, id: u64, class: usize, title: &str) -> ServerId {
         let sent = sends(&self.ask(id, class, title));
         let (_, to) = sent.first().cloned().expect("sent at once");
@@ -146,7 +146,7 @@
     actions.iter().filter_map(rate).collect()
 }
 
-/// Final answers given to a session.
+/// Returns the final answers given to a session.
 pub fn answers(actions: &[Action], id: u64) -> Vec<Action> {
     let mine = |a: &&Action| match a {
         Action::Refuse { id: of, .. } | Action::Fail(of) => *of == SessionId(id),
