--- a/lab/tests/mutants.rs
+++ b/lab/tests/mutants.rs
@@ -13,12 +13,12 @@
 
 /// The rules that a day breaks, each once, on which the first boxes have a fault from the second second on.
 fn broken(with: Option<Mutant>, boxes: usize, fault: impl Fn(usize) -> Fault) -> Vec<&'static str> {
-    mutant::choose(with);
+    mutant::set_active(with);
     let mut plan = Plan::of(Deployment::lessons(), 1, BROKERS, BOXES);
     plan.faults = (0..boxes).map(|n| (Micros::from_secs(2.0), fault(n))).collect();
     let mut world = World::new(plan);
     world.play();
-    mutant::choose(None);
+    mutant::set_active(None);
     let mut rules: Vec<&'static str> = world.rules.broken.iter().map(|broken| broken.rule).collect();
     rules.sort_unstable();
     rules.dedup();
--- a/src/broker/answers.rs
+++ b/src/broker/answers.rs
@@ -121,7 +121,7 @@
     /// The answer is overdue: no request may be left without one, even if the module forgot it.
     pub(super) fn deadline_backstop(&mut self, now: Micros, id: SessionId, out: &mut Vec<Effect>) {
         let owed = self.sessions.get(id).is_some_and(|session| session.unanswered());
-        if owed && !mutant::on(Mutant::ForgottenDeadline) {
+        if owed && !mutant::is_active(Mutant::ForgottenDeadline) {
             self.events.push_back(Event::ViewerLeft(id));
             self.fail(now, id, true, out);
         }
--- a/src/broker/attempts.rs
+++ b/src/broker/attempts.rs
@@ -125,7 +125,11 @@
         server: attempt.server.clone(),
         class: session.request.class,
         title: session.request.title.clone(),
-        rung: if further && mutant::on(Mutant::FloorOfFirstAttempt) { Some(Rung(0)) } else { session.rung },
+        rung: if further && mutant::is_active(Mutant::FloorOfFirstAttempt) {
+            Some(Rung(0))
+        } else {
+            session.rung
+        },
         wait: attempt.deadline - attempt.sent_at,
         offer: session.offer().clone(),
     }
--- a/src/module/api/outcome.rs
+++ b/src/module/api/outcome.rs
@@ -28,7 +28,7 @@
     /// It proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Status::Saturated | Status::ConnectFailed | Status::Moot)
-            || (self == Status::Reset && mutant::on(Mutant::ResetNeverRan))
+            || (self == Status::Reset && mutant::is_active(Mutant::ResetNeverRan))
     }
 }
 
--- a/src/module/brain/timers.rs
+++ b/src/module/brain/timers.rs
@@ -36,7 +36,7 @@
     /// When a request that was not answered yet gets its answer.
     fn answered_at(&self, s: &Session) -> Option<Micros> {
         match s.phase {
-            Phase::Held if mutant::on(Mutant::ForgottenDeadline) => None,
+            Phase::Held if mutant::is_active(Mutant::ForgottenDeadline) => None,
             // No attempt of it can begin any more.
             Phase::Held => Some(self.last_start(s)),
             Phase::Setup if s.withdrawing => Some(self.last_start(s)),
--- a/src/mutant.rs
+++ b/src/mutant.rs
@@ -82,31 +82,31 @@
 
 #[cfg(feature = "trials")]
 thread_local! {
-    static CHOSEN: std::cell::Cell<Option<Mutant>> = const { std::cell::Cell::new(None) };
+    static ACTIVE: std::cell::Cell<Option<Mutant>> = const { std::cell::Cell::new(None) };
 }
 
 /// Is wrong in one way from now on, on this thread.
 #[cfg(feature = "trials")]
-pub fn choose(mutant: Option<Mutant>) {
-    CHOSEN.set(mutant);
+pub fn set_active(mutant: Option<Mutant>) {
+    ACTIVE.set(mutant);
 }
 
 /// The one that the environment names.
 #[cfg(feature = "trials")]
-pub fn of_environment() -> Option<Mutant> {
+pub fn from_environment() -> Option<Mutant> {
     let name = std::env::var("AMBERSPINDLE_MUTANT").ok()?;
     Mutant::ALL.iter().find(|(known, _)| *known == name).map(|(_, mutant)| *mutant)
 }
 
 /// Whether things are to be done wrong in this way.
 #[cfg(feature = "trials")]
-pub fn on(mutant: Mutant) -> bool {
-    CHOSEN.get() == Some(mutant)
+pub fn is_active(mutant: Mutant) -> bool {
+    ACTIVE.get() == Some(mutant)
 }
 
 /// Whether things are to be done wrong in this way: never.
 #[cfg(not(feature = "trials"))]
 #[inline(always)]
-pub fn on(_: Mutant) -> bool {
+pub fn is_active(_: Mutant) -> bool {
     false
 }
--- a/src/net/board.rs
+++ b/src/net/board.rs
@@ -39,7 +39,7 @@
                 Ok(reason) => end(reason),
                 Err(error) => end(code(&error)),
             }
-            let retry = if mutant::on(Mutant::LateRetry) { LATE_RETRY } else { board::RETRY };
+            let retry = if mutant::is_active(Mutant::LateRetry) { LATE_RETRY } else { board::RETRY };
             Timer::after(micros(retry)).await;
         };
         // A new address is asked at once, also in the middle of a dial or of the wait before the next.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -180,7 +180,7 @@
                 }
             }
             Command::CloseIfQuiet(conn, reason) => match shared.boxes.borrow().get(&conn) {
-                Some(outbox) if mutant::on(Mutant::CutAtClose) => outbox.cut(reason),
+                Some(outbox) if mutant::is_active(Mutant::CutAtClose) => outbox.cut(reason),
                 Some(outbox) => outbox.let_go(reason),
                 None => {}
             },
--- a/src/net/quorum.rs
+++ b/src/net/quorum.rs
@@ -206,7 +206,7 @@
     rules: Box<dyn Fn(LocalRules)>,
 ) -> io::Result<Rc<Quorum>> {
     #[cfg(feature = "trials")]
-    mutant::choose(mutant::of_environment());
+    mutant::set_active(mutant::from_environment());
     let (to_us, from_disk) = async_channel::unbounded::<Input>();
     let mut opened = None;
     let mut journal = None;
@@ -383,7 +383,7 @@
 /// The record's thread.
 fn write_record(folder: &Path, work: &async_channel::Receiver<Job>, answers: &async_channel::Sender<Input>) {
     #[cfg(feature = "trials")]
-    mutant::choose(mutant::of_environment());
+    mutant::set_active(mutant::from_environment());
     while let Ok(job) = work.recv_blocking() {
         faults::stop_at("record.queued");
         let epoch = job.epoch;
--- a/src/net/run.rs
+++ b/src/net/run.rs
@@ -147,7 +147,7 @@
     reread: impl Fn() -> Result<Config, Findings> + 'static,
 ) -> io::Result<()> {
     #[cfg(feature = "trials")]
-    crate::mutant::choose(crate::mutant::of_environment());
+    crate::mutant::set_active(crate::mutant::from_environment());
     let heard = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
     let (board, known) = Board::new(config.names.clone(), &config.known);
     let shared = Shared::new(config, board);
--- a/src/node/viewers.rs
+++ b/src/node/viewers.rs
@@ -134,7 +134,7 @@
             Reply::Over(line) => (line, None),
         };
         self.say_marked(home, line, mark, out);
-        if mutant::on(Mutant::AnsweredTwice) {
+        if mutant::is_active(Mutant::AnsweredTwice) {
             self.say_marked(home, line, None, out);
         }
         if let Some(conn) = home {
--- a/src/operate/planned_end.rs
+++ b/src/operate/planned_end.rs
@@ -93,7 +93,7 @@
 
     /// Settings are in force with this longest deadline: the time left never grows by them.
     pub fn shorten(&mut self, longest_deadline: Micros) {
-        if mutant::on(Mutant::LateDoors) {
+        if mutant::is_active(Mutant::LateDoors) {
             return;
         }
         let kill_after = match self.killer {
--- a/src/platform/links/withdrawal.rs
+++ b/src/platform/links/withdrawal.rs
@@ -49,7 +49,7 @@
         link.used = now;
         self.withdrawals.insert(id, *conn);
         out.push(Command::Withdraw(*conn, id, bytes));
-        if mutant::on(Mutant::QueuedIsWritten) {
+        if mutant::is_active(Mutant::QueuedIsWritten) {
             self.withdrawals.remove(&id);
             self.ended.insert(id, now);
             return Withdrawal::Done;
--- a/src/quorum/agree.rs
+++ b/src/quorum/agree.rs
@@ -215,7 +215,7 @@
     /// What may leave now.
     pub fn release(&mut self, out: &mut Vec<Effect>) {
         while let Some((number, _)) = self.waiting.front()
-            && (*number <= self.synced || mutant::on(Mutant::NotSynced))
+            && (*number <= self.synced || mutant::is_active(Mutant::NotSynced))
         {
             match self.waiting.pop_front() {
                 Some((_, Waiting::Send(to, message))) => out.push(Effect::Send(to, message)),
--- a/src/quorum/book.rs
+++ b/src/quorum/book.rs
@@ -183,7 +183,7 @@
                 self.reign.0 += 1;
                 self.leader = Some((*voter, *ballot));
                 self.version += 1;
-                if mutant::on(Mutant::EpochsReused) {
+                if mutant::is_active(Mutant::EpochsReused) {
                     self.epoch = Epoch(0);
                 }
                 return Change::Led(*voter, *ballot, self.reign);
@@ -243,7 +243,7 @@
 
     /// Whether what was proposed under a reign counts.
     fn stands(&self, reign: Reign) -> bool {
-        reign == self.reign || mutant::on(Mutant::StaleReign)
+        reign == self.reign || mutant::is_active(Mutant::StaleReign)
     }
 }
 
--- a/src/quorum/founding.rs
+++ b/src/quorum/founding.rs
@@ -98,12 +98,12 @@
     /// Whether another voter is the one that the cluster was founded with. Before that is settled nobody is.
     pub fn is(&self, voter: VoterId, identity: u64) -> bool {
         let known = self.roster.as_ref().and_then(|roster| roster.get(&voter));
-        known == Some(&identity) || (mutant::on(Mutant::ForgottenVote) && self.roster.is_some())
+        known == Some(&identity) || (mutant::is_active(Mutant::ForgottenVote) && self.roster.is_some())
     }
 
     /// Another voter has shown its papers.
     pub fn met(&mut self, papers: Papers, written: u64) -> Step {
-        let forgets = mutant::on(Mutant::ForgottenVote);
+        let forgets = mutant::is_active(Mutant::ForgottenVote);
         let other = |roster: &Roster| roster.get(&self.me) != Some(&self.identity) && !forgets;
         if self.roster.is_none() && papers.roster.as_ref().is_some_and(other) {
             return Step::Bar(Barred::OtherFolder);
--- a/src/quorum/holder.rs
+++ b/src/quorum/holder.rs
@@ -25,7 +25,7 @@
 
     /// The same for the look that follows a wait.
     pub fn still(&self, now: BootTime) -> Option<Epoch> {
-        let kept = mutant::on(Mutant::NoSecondLook) || mutant::on(Mutant::KeptPermit);
+        let kept = mutant::is_active(Mutant::NoSecondLook) || mutant::is_active(Mutant::KeptPermit);
         if kept { Some(self.epoch) } else { self.epoch(now) }
     }
 }
@@ -82,7 +82,7 @@
             if self.given.get(duty).is_some_and(|given| given >= epoch) {
                 continue;
             }
-            let from = if mutant::on(Mutant::FromReceipt) { now } else { sent };
+            let from = if mutant::is_active(Mutant::FromReceipt) { now } else { sent };
             let until = from.after(*length - setup.drift_of(*length));
             let held = self.held.get(duty);
             if until <= now || held.is_some_and(|held| held.epoch > *epoch) {
@@ -112,7 +112,7 @@
 
     /// Leases whose time is over are held no longer.
     pub fn expire(&mut self, now: BootTime) -> Vec<News> {
-        if mutant::on(Mutant::KeptPermit) {
+        if mutant::is_active(Mutant::KeptPermit) {
             return Vec::new();
         }
         let over: Vec<(Duty, Epoch)> = self
@@ -135,7 +135,7 @@
     pub fn permit(&self, duty: &Duty, now: BootTime) -> Option<Permit> {
         let held = self.held.get(duty)?;
         let permit = Permit { epoch: held.epoch, until: held.until };
-        (mutant::on(Mutant::KeptPermit) || permit.epoch(now).is_some()).then_some(permit)
+        (mutant::is_active(Mutant::KeptPermit) || permit.epoch(now).is_some()).then_some(permit)
     }
 
     /// Gives a duty back: from now on this process does not act for it.
--- a/src/quorum/journal.rs
+++ b/src/quorum/journal.rs
@@ -148,7 +148,7 @@
             let next = next.unwrap_or(0);
             let behind = |from: usize| front(&bytes[from..], |n| n > next && n - next < AHEAD).is_some();
             match (at + 1..bytes.len()).find(|from| behind(*from)) {
-                Some(from) if mutant::on(Mutant::SkipSpoilt) => {
+                Some(from) if mutant::is_active(Mutant::SkipSpoilt) => {
                     if let (Some(read), Some((n, _))) = (&mut read, front(&bytes[from..], |_| true)) {
                         read.number = n - 1;
                     }
--- a/src/quorum/ledger.rs
+++ b/src/quorum/ledger.rs
@@ -122,7 +122,7 @@
         };
         for (duty, lease) in &book.duties {
             let wait = lease.length + setup.drift_of(lease.length);
-            let wait = if mutant::on(Mutant::NoWait) { Micros(0) } else { wait };
+            let wait = if mutant::is_active(Mutant::NoWait) { Micros(0) } else { wait };
             ledger.until.insert(duty.clone(), (lease.epoch, now.after(wait)));
         }
         ledger
@@ -143,7 +143,7 @@
         let name = &beat.process.name;
         let twin = self.heard.get(name).filter(|h| now.since(h.at) < self.setup.gone);
         if twin.is_some_and(|h| h.process.incarnation > beat.process.incarnation)
-            && !mutant::on(Mutant::Twins)
+            && !mutant::is_active(Mutant::Twins)
         {
             return Some(HeartbeatReply { twin: true, ..self.told(&beat, Vec::new(), book) });
         }
@@ -179,7 +179,7 @@
                 self.closing.insert(duty.clone(), (*epoch, Ended::Released));
             }
         }
-        if mutant::on(Mutant::NoConfirm) {
+        if mutant::is_active(Mutant::NoConfirm) {
             return Some(self.answer(now, &beat, book));
         }
         self.waiting.insert(beat.process.clone(), (via, beat));
@@ -225,7 +225,7 @@
         let mut holds = Vec::new();
         for (duty, lease) in &book.duties {
             let own = lease.holder == beat.process
-                || (mutant::on(Mutant::Twins) && lease.holder.name == beat.process.name);
+                || (mutant::is_active(Mutant::Twins) && lease.holder.name == beat.process.name);
             let closing = self.closing.get(duty).is_some_and(|(epoch, _)| *epoch == lease.epoch);
             if !own || closing || self.stuck(now, duty, lease.epoch, &beat.process.name) {
                 continue;
--- a/src/quorum/machine.rs
+++ b/src/quorum/machine.rs
@@ -512,7 +512,7 @@
             let heard = seat.heard.get(&voter).copied().unwrap_or(0);
             let lost = seat.founding.roster().is_some() && !seat.founding.is(voter, papers.identity);
             // Whoever lost its folder learns of it from the roster.
-            if !lost && papers.written < heard && !mutant::on(Mutant::ForgottenVote) {
+            if !lost && papers.written < heard && !mutant::is_active(Mutant::ForgottenVote) {
                 let why = Barred::OlderCopy { known: heard, written: papers.written };
                 return self.refuse(conn, Refused::Barred(why), out);
             }
--- a/src/quorum/mod.rs
+++ b/src/quorum/mod.rs
@@ -129,7 +129,7 @@
 
     /// The part of a span that is set aside for clocks that run too fast or too slow.
     pub fn drift_of(&self, span: Micros) -> Micros {
-        if mutant::on(mutant::Mutant::NoDrift) {
+        if mutant::is_active(mutant::Mutant::NoDrift) {
             return Micros(0);
         }
         Micros((span.0 as f64 * self.drift).ceil() as u64)
--- a/src/rules/force.rs
+++ b/src/rules/force.rs
@@ -76,7 +76,7 @@
         if number == 0 {
             return false;
         }
-        if mutant::on(mutant::Mutant::ForceAtOnce) {
+        if mutant::is_active(mutant::Mutant::ForceAtOnce) {
             return true;
         }
         // Those that an earlier leader answered are fresh no longer than this.
--- a/src/rules/standing.rs
+++ b/src/rules/standing.rs
@@ -125,7 +125,7 @@
             self.until = None;
             return;
         }
-        let from = if mutant::on(Mutant::FreshFromReceipt) { now } else { sent };
+        let from = if mutant::is_active(Mutant::FreshFromReceipt) { now } else { sent };
         let until = from.after(Micros(word.fresh.0.saturating_sub(drift.0)));
         self.until = Some(self.until.map_or(until, |known| known.max(until)));
     }
@@ -133,7 +133,7 @@
     /// How sure it is at an instant.
     pub fn sure(&self, now: BootTime) -> RulesFreshness {
         let force = self.versions().0;
-        let fresh = self.until.is_some_and(|until| now < until) || mutant::on(Mutant::FreshForGood);
+        let fresh = self.until.is_some_and(|until| now < until) || mutant::is_active(Mutant::FreshForGood);
         match (&self.accepted, self.until) {
             (None, None) if self.force.is_none() => RulesFreshness::None,
             (Some(accepted), Some(_)) if fresh => RulesFreshness::Between(force, accepted.number),
--- a/trials/tests/processes.rs
+++ b/trials/tests/processes.rs
@@ -80,7 +80,7 @@
 #[test]
 fn the_mutant_that_believes_a_deposed_leader_is_found() {
     let ends_a_lease = |wrong| {
-        mutant::choose(wrong);
+        mutant::set_active(wrong);
         let mut book = Book::default();
         book.apply(&Entry::Lead { voter: 1, ballot: 1 });
         let (duty, length) = (Duty("idle".into()), amberspindle::api::Micros(1));
@@ -92,5 +92,5 @@
     };
     assert!(!ends_a_lease(None));
     assert!(ends_a_lease(Some(Mutant::StaleReign)));
-    mutant::choose(None);
+    mutant::set_active(None);
 }
