--- a/src/net/console.rs
+++ b/src/net/console.rs
@@ -16,7 +16,7 @@
 use super::reading::{code, within};
 use super::room::ROOM;
 use super::{Handle, micros, step};
-use crate::operate::console::{BadCall, CALL_TIMEOUT, Call, CallerId, Callers, Line};
+use crate::operate::console::{BadCall, CALL_TIMEOUT, Call, CallReader, CallerId, Callers};
 
 /// Time between looks for a descriptor that is free again.
 const LOOK: Duration = Duration::from_millis(5);
@@ -29,7 +29,7 @@
 
 /// Reads until a call is whole.
 async fn call(shared: &Handle, stream: &Async<TcpStream>) -> Result<Call, BadCall> {
-    let mut line = Line::default();
+    let mut line = CallReader::default();
     loop {
         let read = stream.read_with(|mut s| {
             let mut buffer = shared.buffer.borrow_mut();
@@ -62,7 +62,7 @@
     let call = future::or(call(&shared, &stream), future::or(no_room, too_late)).await;
     {
         let mut table = table.borrow_mut();
-        table.callers.left(id);
+        table.callers.remove(id);
         table.bells.remove(&id);
     }
     let answer = step(&shared, |node, now, _| node.call(now, call));
@@ -103,7 +103,7 @@
         let bell = Rc::new(Bell::default());
         let id = {
             let mut table = table.borrow_mut();
-            let (id, oldest) = table.callers.come();
+            let (id, oldest) = table.callers.admit();
             if let Some(bell) = oldest.and_then(|oldest| table.bells.remove(&oldest)) {
                 bell.ring();
             }
--- a/src/operate/console.rs
+++ b/src/operate/console.rs
@@ -6,7 +6,7 @@
 use crate::api::Micros;
 
 /// The longest line that is read; calls are a word each.
-const LONGEST: usize = 256;
+const MAX_CALL_BYTES: usize = 256;
 /// A caller that has not completed its call after this is let go. Some take 4 s without completing one.
 pub const CALL_TIMEOUT: Micros = Micros(10_000_000);
 
@@ -76,20 +76,20 @@
 
 /// The reading side of one caller's connection.
 #[derive(Debug, Default)]
-pub struct Line {
-    read: Vec<u8>,
+pub struct CallReader {
+    buffer: Vec<u8>,
 }
 
-impl Line {
+impl CallReader {
     /// Takes bytes in; gives the call once its line is whole. What comes behind the line is not read.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<Result<Call, BadCall>> {
         let end = bytes.iter().position(|b| *b == b'\n');
-        self.read.extend_from_slice(&bytes[..end.unwrap_or(bytes.len()).min(LONGEST + 1)]);
-        if self.read.len() > LONGEST {
+        self.buffer.extend_from_slice(&bytes[..end.unwrap_or(bytes.len()).min(MAX_CALL_BYTES + 1)]);
+        if self.buffer.len() > MAX_CALL_BYTES {
             return Some(Err(BadCall::TooLong));
         }
         end?;
-        Some(match self.read.trim_ascii() {
+        Some(match self.buffer.trim_ascii() {
             b"check" => Ok(Call::Check),
             b"vars" => Ok(Call::Vars),
             b"drain-on" => Ok(Call::DrainOn),
@@ -107,28 +107,28 @@
 /// nothing.
 #[derive(Debug)]
 pub struct Callers {
-    most: usize,
+    max_waiting: usize,
     next: u64,
     waiting: BTreeSet<CallerId>,
 }
 
 impl Callers {
     /// Room for so many.
-    pub fn new(most: usize) -> Callers {
-        Callers { most: most.max(1), next: 0, waiting: BTreeSet::new() }
+    pub fn new(max_waiting: usize) -> Callers {
+        Callers { max_waiting: max_waiting.max(1), next: 0, waiting: BTreeSet::new() }
     }
 
     /// One more comes. Where there is no room the one that has waited longest without completing its call goes:
     /// an honest caller writes its line at once, and what it wrote is read before the next one is let in.
-    pub fn come(&mut self) -> (CallerId, Option<CallerId>) {
-        let oldest = (self.waiting.len() >= self.most).then(|| self.waiting.pop_first()).flatten();
+    pub fn admit(&mut self) -> (CallerId, Option<CallerId>) {
+        let oldest = (self.waiting.len() >= self.max_waiting).then(|| self.waiting.pop_first()).flatten();
         self.next += 1;
         self.waiting.insert(CallerId(self.next));
         (CallerId(self.next), oldest)
     }
 
     /// One has completed its call, or has left.
-    pub fn left(&mut self, id: CallerId) {
+    pub fn remove(&mut self, id: CallerId) {
         self.waiting.remove(&id);
     }
 }
@@ -137,9 +137,9 @@
 mod tests {
     use super::*;
 
-    fn fed(pieces: &[&[u8]]) -> Option<Result<Call, BadCall>> {
-        let mut line = Line::default();
-        pieces.iter().find_map(|piece| line.feed(piece))
+    fn feed_pieces(pieces: &[&[u8]]) -> Option<Result<Call, BadCall>> {
+        let mut reader = CallReader::default();
+        pieces.iter().find_map(|piece| reader.feed(piece))
     }
 
     #[test]
@@ -152,33 +152,33 @@
         ] {
             for cut in 0..=text.len() {
                 let (a, b) = text.as_bytes().split_at(cut);
-                assert_eq!(fed(&[a, b]), Some(Ok(call)), "{text:?} cut at {cut}");
+                assert_eq!(feed_pieces(&[a, b]), Some(Ok(call)), "{text:?} cut at {cut}");
             }
         }
     }
 
     #[test]
     fn what_is_no_call_fails_and_a_half_line_waits() {
-        assert_eq!(fed(&[b"drain\n"]), Some(Err(BadCall::Unknown)));
-        assert_eq!(fed(&[b"\n"]), Some(Err(BadCall::Unknown)));
-        assert_eq!(fed(&[b"\xff\x00check\n"]), Some(Err(BadCall::Unknown)));
-        assert_eq!(fed(&[b"chec"]), None);
-        assert_eq!(fed(&[&[b'x'; 200], &[b'x'; 57]]), Some(Err(BadCall::TooLong)));
-        assert_eq!(fed(&[&[b'x'; 70_000]]), Some(Err(BadCall::TooLong)));
+        assert_eq!(feed_pieces(&[b"drain\n"]), Some(Err(BadCall::Unknown)));
+        assert_eq!(feed_pieces(&[b"\n"]), Some(Err(BadCall::Unknown)));
+        assert_eq!(feed_pieces(&[b"\xff\x00check\n"]), Some(Err(BadCall::Unknown)));
+        assert_eq!(feed_pieces(&[b"chec"]), None);
+        assert_eq!(feed_pieces(&[&[b'x'; 200], &[b'x'; 57]]), Some(Err(BadCall::TooLong)));
+        assert_eq!(feed_pieces(&[&[b'x'; 70_000]]), Some(Err(BadCall::TooLong)));
     }
 
     /// Guards against callers that say nothing and keep others out.
     #[test]
     fn the_oldest_silent_caller_makes_room() {
         let mut callers = Callers::new(2);
-        let (a, none) = callers.come();
-        let (b, _) = callers.come();
+        let (a, none) = callers.admit();
+        let (b, _) = callers.admit();
         assert_eq!(none, None);
-        let (c, out) = callers.come();
+        let (c, out) = callers.admit();
         assert_eq!(out, Some(a));
-        callers.left(b);
-        assert_eq!(callers.come().1, None);
-        assert_eq!(callers.come().1, Some(c));
+        callers.remove(b);
+        assert_eq!(callers.admit().1, None);
+        assert_eq!(callers.admit().1, Some(c));
         assert_eq!(callers.waiting.len(), 2);
     }
 
