--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -18,7 +18,7 @@
         offer: Description,
         out: &mut Vec<Command>,
     ) {
-        self.figures.asked(request.id, named(&self.names.classes, request.class));
+        self.figures.record_request(request.id, named(&self.names.classes, request.class));
         if let Some(tracer) = &mut self.tracer {
             let most = self.settings.classes.get(request.class).map_or(Rung(0), |class| class.top);
             let class = (named(&self.names.classes, request.class), most);
@@ -74,7 +74,7 @@
 
     pub(super) fn tell(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
         if let Input::ClientLeft(id) = &input {
-            self.figures.left(*id);
+            self.figures.record_withdrawal(*id);
         }
         if let Some(tracer) = &mut self.tracer {
             tracer.told(now, &input);
@@ -94,15 +94,15 @@
         match &effect {
             Effect::Refused(id, _) => {
                 self.refusals += 1;
-                self.figures.answered(*id, Outcome::Throttled);
+                self.figures.record_answer(*id, Outcome::Throttled);
             }
-            Effect::Failed(id, _) => self.figures.answered(*id, Outcome::Faulted),
+            Effect::Failed(id, _) => self.figures.record_answer(*id, Outcome::Faulted),
             Effect::SetUp(_) => self.attempts += 1,
             _ => {}
         }
         match effect {
             Effect::Established(id, answer) if self.owned_by_whip(id) => {
-                self.figures.answered(id, Outcome::Fulfilled);
+                self.figures.record_answer(id, Outcome::Fulfilled);
                 let ice = self.pool.ice(id).to_vec();
                 self.whip(now, out, |whip, _, wishes| whip.plays(now, id, answer, ice, wishes));
                 self.whip(now, out, |whip, sure, wishes| whip.read_on(now, sure, wishes));
@@ -140,14 +140,14 @@
                 let line = std::str::from_utf8(&description).ok().map(|text| viewer::answer(id, text));
                 match line.filter(|line| line.encode().is_ok()) {
                     Some(line) => {
-                        self.figures.answered(id, Outcome::Fulfilled);
+                        self.figures.record_answer(id, Outcome::Fulfilled);
                         self.reply(now, home, id, &Reply::Plays(line), out);
                         if self.phase.yielded() {
                             self.pass(now, id, out);
                         }
                     }
                     None => {
-                        self.figures.answered(id, Outcome::Faulted);
+                        self.figures.record_answer(id, Outcome::Faulted);
                         // What can't be passed on unchanged is not passed on.
                         self.reply(now, home, id, &Reply::Over(viewer::failed(id)), out);
                         self.forget(id);
--- a/src/node/operate.rs
+++ b/src/node/operate.rs
@@ -44,7 +44,7 @@
 
     /// The figures as they are now.
     fn read_figures(&mut self, now: Micros) -> String {
-        self.figures.classes(&self.names.classes);
+        self.figures.register_classes(&self.names.classes);
         // A session that plays is a request that has not ended.
         let remaining = self.remaining();
         let gauges = Gauges {
@@ -55,13 +55,13 @@
             registry_entries: self.servers.len(),
             out_of_rotation: self.broker.out_of_rotation(now),
         };
-        self.figures.lines(gauges)
+        self.figures.render(gauges)
     }
 
     /// What is marked by these sessions was written whole: attempts on a connection to a server, answers on a client's.
     pub fn written_whole(&mut self, now: Micros, conn: ConnId, marked: &[SessionId]) {
         if self.links.has(conn) || self.pool.has(conn) {
-            marked.iter().for_each(|id| self.figures.relayed(*id));
+            marked.iter().for_each(|id| self.figures.record_attempt(*id));
         } else if let Some(tracer) = &mut self.tracer {
             marked.iter().for_each(|id| tracer.reply_written(now, *id, conn));
         }
@@ -69,7 +69,7 @@
 
     /// A new configuration was taken in, or turned down.
     pub fn reread(&mut self, taken: bool) {
-        self.figures.file(taken);
+        self.figures.record_settings_file(taken);
     }
 
     /// A list is to come from some source: see [`crate::operate::phase::Phase::awaits_list`].
--- a/src/node/viewers.rs
+++ b/src/node/viewers.rs
@@ -61,8 +61,8 @@
             ViewerMessage::Unfit(id, _) if self.broker.knows(id) => self.taken(now, conn, id, out),
             ViewerMessage::Unfit(id, class) => {
                 if let Some(class) = class {
-                    self.figures.asked(id, named(&self.names.classes, class));
-                    self.figures.answered(id, Outcome::Faulted);
+                    self.figures.record_request(id, named(&self.names.classes, class));
+                    self.figures.record_answer(id, Outcome::Faulted);
                 }
                 self.say(now, Some(conn), &viewer::failed(id), out);
             }
