--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -24,7 +24,7 @@
             let class = (named(&self.names.classes, request.class), most);
             tracer.asked(now, &request, class, named(&self.names.tenants, request.tenant));
         }
-        if self.phase.turns_away(now) {
+        if self.phase.rejects_requests(now) {
             // Nothing of it was sent on, and this process ends or drains: another one takes it.
             return self.carry_out(now, Effect::Refused(request.id, Micros(0)), out);
         }
@@ -142,7 +142,7 @@
                     Some(line) => {
                         self.figures.record_answer(id, Outcome::Fulfilled);
                         self.reply(now, home, id, &Reply::Plays(line), out);
-                        if self.phase.yielded() {
+                        if self.phase.has_yielded() {
                             self.pass(now, id, out);
                         }
                     }
--- a/src/node/ending.rs
+++ b/src/node/ending.rs
@@ -42,7 +42,7 @@
     /// From now on tests fail and no HTTP connection is kept, so that clients go elsewhere. Turns at cold servers are
     /// the next process's, which may have the same number and start at once.
     pub fn stop(&mut self, now: Micros, out: &mut Vec<Command>) {
-        self.phase.end();
+        self.phase.begin_shutdown();
         self.tell(now, Input::WarmUpTurnsFrom(Micros::MAX), out);
         if let Some(whip) = &mut self.whip {
             whip.keep(false);
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -12,7 +12,7 @@
 impl Node {
     /// This process asks another, or nobody, whether it may serve.
     pub fn await_predecessor(&mut self) {
-        self.phase.start();
+        self.phase.await_predecessor();
     }
 
     /// Sessions that memory allows at most.
@@ -22,7 +22,7 @@
 
     /// It serves from now on.
     pub fn start_serving(&mut self) {
-        self.phase.serve();
+        self.phase.start_serving();
     }
 
     /// It may take turns at cold servers that begin from now on.
@@ -33,7 +33,7 @@
     /// Another process serves from now on: no turn at cold servers is taken any more, what stands is passed, and
     /// clients' connections are let go.
     pub fn yield_to_successor(&mut self, now: Micros, out: &mut Vec<Command>) {
-        self.phase.yields();
+        self.phase.yield_to_successor();
         self.let_go_at = now;
         self.tell(now, Input::WarmUpTurnsFrom(Micros::MAX), out);
         let standing: Vec<SessionId> = self.broker.established_ids();
@@ -46,8 +46,8 @@
     /// their clients. A turn at a cold server that began before may have been the other's; those that begin from now on
     /// are this process's, also if it was told to end: whoever comes next asks it at the meeting point first.
     pub fn resume_serving(&mut self, now: Micros, out: &mut Vec<Command>) {
-        self.phase.resumes();
-        self.let_go_at = self.phase.lets_go_from().unwrap_or(Micros::MAX);
+        self.phase.resume_serving();
+        self.let_go_at = self.phase.closes_connections_from().unwrap_or(Micros::MAX);
         self.passed.clear();
         self.tell(now, Input::WarmUpTurnsFrom(now), out);
     }
@@ -83,7 +83,7 @@
             self.tell(now, Input::Note { id, server: server.clone(), note: Note::Rung(Rung(rung)) }, out);
         }
         // The next version serves already: it goes on to that.
-        if self.phase.yielded() {
+        if self.phase.has_yielded() {
             return self.pass(now, id, out);
         }
         let before = out.len();
--- a/src/node/operate.rs
+++ b/src/node/operate.rs
@@ -16,14 +16,14 @@
     /// Answers a call, or what is none.
     pub fn call(&mut self, now: Micros, call: Result<Call, BadCall>) -> String {
         let answer = match call {
-            Ok(Call::Check) => match self.phase.unready(now) {
+            Ok(Call::Check) => match self.phase.unready_reason(now) {
                 None => Answer::Success("ready"),
-                Some(why) => Answer::Failure(why.word().to_owned()),
+                Some(why) => Answer::Failure(why.text().to_owned()),
             },
             Ok(Call::Vars) => Answer::Metrics(self.read_figures(now)),
             Ok(Call::DrainOn) => {
                 let new = self.phase.drain(now);
-                self.let_go_at = self.phase.lets_go_from().unwrap_or(Micros::MAX);
+                self.let_go_at = self.phase.closes_connections_from().unwrap_or(Micros::MAX);
                 if let Some(whip) = &mut self.whip {
                     whip.keep(false);
                 }
@@ -32,7 +32,7 @@
             Ok(Call::DrainOff) => {
                 let over = self.phase.undrain();
                 self.let_go_at = Micros::MAX;
-                if let Some(whip) = self.whip.as_mut().filter(|_| self.phase.unready(now).is_none()) {
+                if let Some(whip) = self.whip.as_mut().filter(|_| self.phase.unready_reason(now).is_none()) {
                     whip.keep(true);
                 }
                 Answer::Success(if over { "serving" } else { "was not draining" })
@@ -72,15 +72,15 @@
         self.figures.record_settings_file(taken);
     }
 
-    /// A list is to come from some source: see [`crate::operate::phase::Phase::awaits_list`].
+    /// A list is to come from some source: see [`crate::operate::phase::Phase::await_server_list`].
     pub fn awaits_list(&mut self, now: Micros) {
-        self.phase.awaits_list(now);
+        self.phase.await_server_list(now);
     }
 
     /// All that was taken is answered and the process ends: from now on what comes is turned away at once, and all
     /// clients' connections are let go.
     pub fn start_refusing(&mut self, out: &mut Vec<Command>) {
-        self.phase.close();
+        self.phase.start_refusing();
         self.let_all_go(out);
         if let Some(whip) = &mut self.whip {
             whip.keep(false);
@@ -93,7 +93,7 @@
     /// Once the doors are closed and nothing plays whose end is still to be told, lets every connection go on which no
     /// answer is owed.
     pub(super) fn let_all_go(&mut self, out: &mut Vec<Command>) {
-        if !self.phase.closed() || self.broker.established() > 0 {
+        if !self.phase.is_refusing() || self.broker.established() > 0 {
             return;
         }
         for (conn, c) in self.viewers.iter_mut().filter(|(_, c)| !c.closing && c.open.is_empty()) {
@@ -111,7 +111,7 @@
         let phase = self.phase;
         self.close_clients(out, |c| {
             let quiet = !c.closing && c.open.is_empty() && c.begun.is_none();
-            (quiet && phase.lets_go(now, c.used, c.spoke)).then_some("draining")
+            (quiet && phase.closes_connection(now, c.used, c.spoke)).then_some("draining")
         });
     }
 
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -51,7 +51,7 @@
     /// News of the list of servers.
     pub fn news(&mut self, now: Micros, news: ListUpdate, out: &mut Vec<Command>) {
         if !news.servers.is_empty() {
-            self.phase.listed();
+            self.phase.server_list_received();
         }
         let mut lost = Vec::new();
         if news.kind == ListKind::Complete {
--- a/src/node/viewers.rs
+++ b/src/node/viewers.rs
@@ -37,7 +37,7 @@
         }
         match said {
             ViewerMessage::Ping(id) => {
-                self.say(now, Some(conn), &viewer::pong(id, self.phase.passes(now)), out)
+                self.say(now, Some(conn), &viewer::pong(id, self.phase.passes_health_check(now)), out)
             }
             ViewerMessage::Release(id) => {
                 self.forget(id);
@@ -66,7 +66,7 @@
                 }
                 self.say(now, Some(conn), &viewer::failed(id), out);
             }
-            ViewerMessage::Playing(request, _) if self.phase.closed() => {
+            ViewerMessage::Playing(request, _) if self.phase.is_refusing() => {
                 self.carry_out(now, Effect::Ended(request.id, Status::Reset), out);
             }
             ViewerMessage::Playing(request, server) => {
