--- a/src/net/ending.rs
+++ b/src/net/ending.rs
@@ -43,7 +43,7 @@
             playing,
             connections: shared.accepted.get(),
             unheard_ends: unheard_ends + usize::from(registered),
-            accepting: self.fronts.iter().any(|front| !front.is_finished()),
+            has_queued_connections: self.fronts.iter().any(|front| !front.is_finished()),
             successor_serves: self.handover.as_ref().is_some_and(|handover| handover.yielded()),
         }
     }
@@ -67,7 +67,7 @@
             answer_by = plan.answer_by();
             step(shared, |node, now, out| node.set_shutdown_deadline(now, answer_by, out));
         }
-        while let Some(next) = plan.next(shared.now(), ending.left(shared)) {
+        while let Some(next) = plan.next_step(shared.now(), ending.left(shared)) {
             let left_ms = (plan.kill_at() - shared.now()).0 / 1000;
             info!(event = "ending.step", step = ?next, left_ms);
             match next {
--- a/src/operate/planned_end.rs
+++ b/src/operate/planned_end.rs
@@ -6,21 +6,21 @@
 use crate::mutant::{self, Mutant};
 
 /// Connections and requests keep coming for so long after SIGTERM (protocol page, planned restarts).
-const STILL_COMING: Micros = Micros(700_000);
+const ARRIVALS_AFTER_SIGTERM: Micros = Micros(700_000);
 /// SIGKILL comes no sooner than this and the longest deadline after SIGTERM (the same page).
-const KILL_DELAY: Micros = Micros(700_000);
+const KILL_MARGIN: Micros = Micros(700_000);
 /// The longest deadline counts as so much at most (the same page).
-const LONGEST_COUNTED: Micros = Micros(3_000_000);
+const MAX_COUNTED_DEADLINE: Micros = Micros(3_000_000);
 /// The same where another process serves in this one's place (operators' page on operating days).
-const LONGEST_COUNTED_WITH_HEIR: Micros = Micros(5_000_000);
+const MAX_COUNTED_DEADLINE_WITH_SUCCESSOR: Micros = Micros(5_000_000);
 /// A broker without the platform's front is killed by whatever manages processes there, by custom after so long.
-const GRACE_ELSEWHERE: Micros = Micros(30_000_000);
+const PROCESS_MANAGER_GRACE: Micros = Micros(30_000_000);
 /// Kept free before the earliest SIGKILL for a process that runs late: twice the pages' slack on sockets.
-const LATE_SPARE: Micros = Micros(100_000);
+const EXIT_MARGIN: Micros = Micros(100_000);
 /// Peers have so long to hear the last words and to close their connections too.
-const LAST_WORDS: Micros = Micros(300_000);
+const FINAL_MESSAGES_TIME: Micros = Micros(300_000);
 /// Last words that were queued in one turn are written in the next ones.
-const WRITTEN_WITHIN: Micros = Micros(50_000);
+const MIN_FLUSH_TIME: Micros = Micros(50_000);
 
 /// By whose rules a process that was told to end is killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
     /// Ends of sessions that media servers have not heard yet.
     pub unheard_ends: usize,
     /// Connections that the machine accepted in time still wait to be taken.
-    pub accepting: bool,
+    pub has_queued_connections: bool,
     /// Another process serves in this one's place.
     pub successor_serves: bool,
 }
@@ -67,28 +67,29 @@
 /// How far the plan has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    StillComing,
+    Accepting,
     Answering,
     Refusing,
-    Parting { since: Micros },
-    Over,
+    Flushing { since: Micros },
+    Done,
 }
 
 /// The plan of one process.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownPlan {
-    told_at: Micros,
-    killer: KillPolicy,
+    signalled_at: Micros,
+    kill_policy: KillPolicy,
     kill_at: Micros,
     stage: Stage,
 }
 
 impl ShutdownPlan {
     /// A process was told to end. The longest deadline is that of the settings in force.
-    pub fn new(now: Micros, longest_deadline: Micros, killer: KillPolicy) -> ShutdownPlan {
-        let mut end = ShutdownPlan { told_at: now, killer, kill_at: Micros::MAX, stage: Stage::StillComing };
-        end.shorten(longest_deadline);
-        end
+    pub fn new(now: Micros, longest_deadline: Micros, kill_policy: KillPolicy) -> ShutdownPlan {
+        let mut plan =
+            ShutdownPlan { signalled_at: now, kill_policy, kill_at: Micros::MAX, stage: Stage::Accepting };
+        plan.shorten(longest_deadline);
+        plan
     }
 
     /// Settings are in force with this longest deadline: the time left never grows by them.
@@ -96,16 +97,16 @@
         if mutant::is_active(Mutant::LateDoors) {
             return;
         }
-        let kill_after = match self.killer {
+        let kill_after = match self.kill_policy {
             KillPolicy::Platform { successor_serves: false } => {
-                longest_deadline.min(LONGEST_COUNTED) + KILL_DELAY
+                longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_MARGIN
             }
             KillPolicy::Platform { successor_serves: true } => {
-                longest_deadline.min(LONGEST_COUNTED_WITH_HEIR) + KILL_DELAY
+                longest_deadline.min(MAX_COUNTED_DEADLINE_WITH_SUCCESSOR) + KILL_MARGIN
             }
-            KillPolicy::ProcessManager => GRACE_ELSEWHERE,
+            KillPolicy::ProcessManager => PROCESS_MANAGER_GRACE,
         };
-        self.kill_at = self.kill_at.min(self.told_at + kill_after);
+        self.kill_at = self.kill_at.min(self.signalled_at + kill_after);
     }
 
     /// The earliest SIGKILL.
@@ -115,35 +116,39 @@
 
     /// By then each request has its answer.
     pub fn answer_by(&self) -> Micros {
-        self.exit_by() - LAST_WORDS
+        self.exit_by() - FINAL_MESSAGES_TIME
     }
 
     /// By then the process has ended.
     pub fn exit_by(&self) -> Micros {
-        self.kill_at - LATE_SPARE
+        self.kill_at - EXIT_MARGIN
     }
 
     /// What is to be done now, if anything; to be asked until it gives none.
-    pub fn next(&mut self, now: Micros, left: RemainingWork) -> Option<Step> {
-        let late = now >= self.answer_by();
-        let nothing_kept =
-            left.unanswered == 0 && left.playing == 0 && !left.accepting && !left.successor_serves;
+    pub fn next_step(&mut self, now: Micros, remaining: RemainingWork) -> Option<Step> {
+        let is_late = now >= self.answer_by();
+        let has_no_work = remaining.unanswered == 0
+            && remaining.playing == 0
+            && !remaining.has_queued_connections
+            && !remaining.successor_serves;
         let (stage, step) = match self.stage {
-            Stage::StillComing if late || now >= self.told_at + STILL_COMING => {
+            Stage::Accepting if is_late || now >= self.signalled_at + ARRIVALS_AFTER_SIGTERM => {
                 (Stage::Answering, Step::LastCall)
             }
-            Stage::Answering if late || nothing_kept => (Stage::Refusing, Step::CloseDoors),
-            Stage::Refusing if late || left.unanswered == 0 => (Stage::Parting { since: now }, Step::Release),
-            Stage::Parting { since } if self.parted(now, since, left) => (Stage::Over, Step::Exit),
+            Stage::Answering if is_late || has_no_work => (Stage::Refusing, Step::CloseDoors),
+            Stage::Refusing if is_late || remaining.unanswered == 0 => {
+                (Stage::Flushing { since: now }, Step::Release)
+            }
+            Stage::Flushing { since } if self.is_flushed(now, since, remaining) => (Stage::Done, Step::Exit),
             _ => return None,
         };
         self.stage = stage;
         Some(step)
     }
 
-    fn parted(&self, now: Micros, since: Micros, left: RemainingWork) -> bool {
-        let waits = left.connections > 0 || left.unheard_ends > 0;
-        now >= self.exit_by() || now >= since + WRITTEN_WITHIN && !waits
+    fn is_flushed(&self, now: Micros, since: Micros, remaining: RemainingWork) -> bool {
+        let is_waiting = remaining.connections > 0 || remaining.unheard_ends > 0;
+        now >= self.exit_by() || now >= since + MIN_FLUSH_TIME && !is_waiting
     }
 }
 
