--- a/src/net/handover/meeting.rs
+++ b/src/net/handover/meeting.rs
@@ -121,11 +121,13 @@
         let (shared, handover) = (shared.clone(), handover.clone());
         let executor = shared.executor.clone();
         let talk = async move {
-            let hear = |message| handover.as_giver(&shared, |giver, out| giver.heard(suitor, &message, out));
+            let hear = |message| {
+                handover.as_giver(&shared, |giver, out| giver.handle_message(suitor, &message, out))
+            };
             let reason = converse(&stream, &outbox, hear).await;
             handover.suitors.borrow_mut().remove(&suitor);
             info!(event = "end", peer = "new process", reason);
-            handover.as_giver(&shared, |giver, out| giver.ended(suitor, out));
+            handover.as_giver(&shared, |giver, out| giver.connection_ended(suitor, out));
         };
         executor.spawn(talk).detach();
     }
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -87,16 +87,18 @@
                     self.gate.set(true);
                     listen(shared, self);
                 }
-                giver::Action::Say(to, message) => {
+                giver::Action::Send(to, message) => {
                     if let Some(outbox) = self.suitors.borrow().get(&to) {
                         outbox.push(encode(&message), None);
                     }
                 }
-                giver::Action::Left(id) => {
+                giver::Action::ClientLeft(id) => {
                     step(shared, |node, now, out| node.client_left_at_peer(now, id, out))
                 }
-                giver::Action::Look => shared.executor.spawn(look(shared.clone(), self.clone())).detach(),
-                giver::Action::Leave => self.left.ring(),
+                giver::Action::ProbeSocket => {
+                    shared.executor.spawn(look(shared.clone(), self.clone())).detach()
+                }
+                giver::Action::Exit => self.left.ring(),
             }
         }
     }
@@ -158,7 +160,7 @@
         // What the process before passes comes by here; it would take this one's end for its heir's death.
         let passes_by = handover.old.borrow().is_some();
         let anything = unwritten || passes_by || shared.node.borrow().has_waiting_clients();
-        handover.as_giver(&shared, |giver, out| giver.holds(anything, out));
+        handover.as_giver(&shared, |giver, out| giver.update_pending_work(anything, out));
         Timer::after(LOOK).await;
     }
 }
@@ -169,7 +171,7 @@
     let own = handover.own_place.get();
     let still_own = || own.is_some() && FileId::of(&handover.path).ok() == own;
     let nobody = still_own() || matches!(reach(&handover.path).await, Ok(None));
-    handover.as_giver(&shared, |giver, out| giver.looked(!nobody, out));
+    handover.as_giver(&shared, |giver, out| giver.socket_probed(!nobody, out));
 }
 
 /// Starts: asks the process before this one, if there is one.
