--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -65,7 +65,7 @@
                 (Some(outbox), message) => outbox.push(encode(&message), None),
                 (None, Message::Left { id }) => {
                     let now = shared.now();
-                    self.as_heir(shared, |heir, out| heir.left(now, id, out));
+                    self.as_heir(shared, |heir, out| heir.client_left(now, id, out));
                 }
                 _ => {}
             }
@@ -111,21 +111,23 @@
                     self.gate.set(true);
                     info!(event = "serves");
                 }
-                heir::Action::Meet => listen(shared, self),
-                heir::Action::Leave => self.left.ring(),
-                heir::Action::AskAgain => self.again.ring(),
-                heir::Action::TakeTurns => step(shared, |node, now, out| node.take_warm_up_turns(now, out)),
-                heir::Action::Take(passed) => {
+                heir::Action::Listen => listen(shared, self),
+                heir::Action::Exit => self.left.ring(),
+                heir::Action::Reconnect => self.again.ring(),
+                heir::Action::TakeWarmUpTurns => {
+                    step(shared, |node, now, out| node.take_warm_up_turns(now, out))
+                }
+                heir::Action::AdoptSession(passed) => {
                     step(shared, |node, now, out| node.adopt_session(now, &passed, out))
                 }
-                heir::Action::TakeEnded(passed) => step(shared, |node, now, out| {
+                heir::Action::AdoptEndedSession(passed) => step(shared, |node, now, out| {
                     node.adopt_session(now, &passed, out);
                     node.client_left_at_peer(now, passed.id, out);
                 }),
-                heir::Action::Told(message) => {
+                heir::Action::HandleForwarded(message) => {
                     step(shared, |node, now, out| node.handle_forwarded(now, &message, out))
                 }
-                heir::Action::Say(message) => {
+                heir::Action::Send(message) => {
                     if let Some(old) = &*self.old.borrow() {
                         old.push(encode(&message), None);
                     }
@@ -193,7 +195,7 @@
         loop {
             let stream = match reach(&handover.path).await {
                 Ok(Some(stream)) => stream,
-                Ok(None) => return handover.as_heir(&shared, Successor::alone),
+                Ok(None) => return handover.as_heir(&shared, Successor::no_predecessor),
                 Err(_) => {
                     Timer::after(AGAIN).await;
                     continue;
@@ -201,12 +203,12 @@
             };
             let outbox = Rc::new(Outbox::new(&shared.queues.servers));
             *handover.old.borrow_mut() = Some(outbox.clone());
-            handover.as_heir(&shared, Successor::linked);
+            handover.as_heir(&shared, Successor::connected);
             let talk = async {
-                let hear = |message| handover.as_heir(&shared, |heir, out| heir.heard(message, out));
+                let hear = |message| handover.as_heir(&shared, |heir, out| heir.handle_message(message, out));
                 let reason = converse(&stream, &outbox, hear).await;
                 info!(event = "end", peer = "old process", reason);
-                handover.as_heir(&shared, Successor::ended);
+                handover.as_heir(&shared, Successor::connection_ended);
                 false
             };
             let told = async {
