--- a/src/net/handover/meeting.rs
+++ b/src/net/handover/meeting.rs
@@ -16,7 +16,7 @@
 use crate::net::outbox::Outbox;
 use crate::net::reading::{TURN, code, within};
 use crate::operate::handover::giver::TakeoverConn;
-use crate::operate::handover::{Message, Reader};
+use crate::operate::handover::{Message, MessageReader};
 
 /// Where the processes of one broker meet. A path that the system can't take for a socket is made shorter.
 pub(in crate::net) fn place(folder: &Path, name: &str) -> PathBuf {
@@ -54,7 +54,7 @@
     mut hear: impl FnMut(Message),
 ) -> &'static str {
     let read = async {
-        let (mut reader, mut buffer) = (Reader::default(), vec![0; TURN]);
+        let (mut reader, mut buffer) = (MessageReader::default(), vec![0; TURN]);
         loop {
             match stream.read_with(|mut s| s.read(&mut buffer)).await {
                 Ok(0) => return "end-of-stream",
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -5,7 +5,7 @@
 use crate::api::*;
 use crate::broker::{Effect as Done, Input};
 use crate::operate::handover::{
-    Message, SessionTransfer, note_number, numbered_note, status_word, worded_status,
+    Message, SessionTransfer, decode_note, encode_note, parse_status, status_name,
 };
 use crate::platform::links::{Command, ServerMessage, status};
 
@@ -101,12 +101,12 @@
         }
         match message {
             Message::Over { id, server, how } => {
-                let (server, status) = (ServerId::new(server), worded_status(how));
+                let (server, status) = (ServerId::new(server), parse_status(how));
                 let load = Load::default();
                 self.tell(now, Input::Ended { id: SessionId(*id), server, status, load }, out);
             }
             Message::Noted { id, server, note, figure } => {
-                if let Some(note) = numbered_note(*note, *figure) {
+                if let Some(note) = decode_note(*note, *figure) {
                     let server = ServerId::new(server);
                     self.tell(now, Input::Note { id: SessionId(*id), server, note }, out);
                 }
@@ -158,11 +158,11 @@
         let Some(server) = self.passed.get(&id).map(|server| server.0.to_string()) else { return false };
         let message = match heard {
             ServerMessage::Release(id, cause, _) => {
-                let how = status_word(status(*cause, true)).to_owned();
+                let how = status_name(status(*cause, true)).to_owned();
                 Message::Over { id: id.0, server, how }
             }
             ServerMessage::Note(id, note) => {
-                let (note, figure) = note_number(*note);
+                let (note, figure) = encode_note(*note);
                 Message::Noted { id: id.0, server, note, figure }
             }
             ServerMessage::Answer(..) => return false,
--- a/src/operate/handover/mod.rs
+++ b/src/operate/handover/mod.rs
@@ -5,7 +5,7 @@
 pub mod heir;
 mod reader;
 
-pub use reader::Reader;
+pub use reader::MessageReader;
 
 use serde::{Deserialize, Serialize};
 
@@ -101,7 +101,7 @@
         id: u64,
         /// Its server.
         server: String,
-        /// How it ended, as [`status_word`] has it.
+        /// How it ended, as [`status_name`] has it.
         how: String,
     },
     /// The old one heard a note on a session that it had passed.
@@ -130,7 +130,7 @@
 }
 
 /// A note as a number and a figure.
-pub fn note_number(note: Note) -> (u8, f64) {
+pub fn encode_note(note: Note) -> (u8, f64) {
     match note {
         Note::Delivered(x) => (1, x),
         Note::Rung(rung) => (2, rung.0 as f64),
@@ -140,7 +140,7 @@
 }
 
 /// And back.
-pub fn numbered_note(number: u8, figure: f64) -> Option<Note> {
+pub fn decode_note(number: u8, figure: f64) -> Option<Note> {
     Some(match number {
         1 => Note::Delivered(figure),
         2 => Note::Rung(Rung(figure.max(0.0) as usize)),
@@ -152,7 +152,7 @@
 }
 
 /// How a session ended, as a word.
-pub fn status_word(status: Status) -> &'static str {
+pub fn status_name(status: Status) -> &'static str {
     match status {
         Status::Completed => "completed",
         Status::Cancelled => "cancelled",
@@ -161,7 +161,7 @@
 }
 
 /// And back; what is not known counts as a reset.
-pub fn worded_status(word: &str) -> Status {
+pub fn parse_status(word: &str) -> Status {
     match word {
         "completed" => Status::Completed,
         "cancelled" => Status::Cancelled,
@@ -179,10 +179,10 @@
 
 #[cfg(test)]
 mod tests {
-    use super::reader::LONGEST;
+    use super::reader::MAX_LINE_BYTES;
     use super::*;
 
-    fn all() -> Vec<Message> {
+    fn sample_messages() -> Vec<Message> {
         let mut request = Request::new(SessionId(7), Text::from("t"), Micros(0), 3, 2);
         (request.home, request.viewer) = (1, Text::from("v"));
         let passed = SessionTransfer::new(&request, "paid", "home", &ServerId::new("s-0"), Some(Rung(1)));
@@ -201,24 +201,24 @@
 
     #[test]
     fn messages_are_read_wherever_they_are_cut_and_a_half_one_counts_for_nothing() {
-        let bytes: Vec<u8> = all().iter().flat_map(encode).collect();
+        let bytes: Vec<u8> = sample_messages().iter().flat_map(encode).collect();
         for cut in 0..=bytes.len() {
-            let mut reader = Reader::default();
+            let mut reader = MessageReader::default();
             let mut read = reader.feed(&bytes[..cut]);
             let whole = bytes[..cut].iter().filter(|b| **b == b'\n').count();
-            assert_eq!(read, all()[..whole]);
+            assert_eq!(read, sample_messages()[..whole]);
             read.extend(reader.feed(&bytes[cut..]));
-            assert!(read == all() && !reader.broken());
+            assert!(read == sample_messages() && !reader.is_broken());
         }
     }
 
     #[test]
     fn another_builds_words_are_skipped_and_garbage_ends_the_reading() {
-        let mut reader = Reader::default();
-        let text = b"{\"say\":\"dance\"}\n{\"say\":\"left\",\"id\":7,\"why\":1}\nx\n{\"say\":\"leave\"}\n";
-        assert_eq!(reader.feed(text), [Message::Unknown, Message::Left { id: 7 }]);
-        assert!(reader.broken() && reader.feed(b"{\"say\":\"leave\"}\n").is_empty());
-        let mut endless = Reader::default();
-        assert!(endless.feed(&[b' '; LONGEST + 1]).is_empty() && endless.broken());
+        let mut reader = MessageReader::default();
+        let bytes = b"{\"say\":\"dance\"}\n{\"say\":\"left\",\"id\":7,\"why\":1}\nx\n{\"say\":\"leave\"}\n";
+        assert_eq!(reader.feed(bytes), [Message::Unknown, Message::Left { id: 7 }]);
+        assert!(reader.is_broken() && reader.feed(b"{\"say\":\"leave\"}\n").is_empty());
+        let mut endless = MessageReader::default();
+        assert!(endless.feed(&[b' '; MAX_LINE_BYTES + 1]).is_empty() && endless.is_broken());
     }
 }
--- a/src/operate/handover/reader.rs
+++ b/src/operate/handover/reader.rs
@@ -3,39 +3,39 @@
 use super::Message;
 
 /// The longest line: a session is some hundred bytes.
-pub(super) const LONGEST: usize = 64 * 1024;
+pub(super) const MAX_LINE_BYTES: usize = 64 * 1024;
 
 /// The reading side. What can't be read ends it: nothing behind it counts.
 #[derive(Debug, Default)]
-pub struct Reader {
-    read: Vec<u8>,
-    broken: bool,
+pub struct MessageReader {
+    line: Vec<u8>,
+    is_broken: bool,
 }
 
-impl Reader {
+impl MessageReader {
     /// Takes bytes in; gives the messages that are whole.
     pub fn feed(&mut self, bytes: &[u8]) -> Vec<Message> {
         let mut messages = Vec::new();
         for piece in bytes.split_inclusive(|b| *b == b'\n') {
-            if self.broken {
+            if self.is_broken {
                 break;
             }
-            self.read.extend_from_slice(piece);
-            if self.read.len() > LONGEST {
-                self.broken = true;
-            } else if self.read.ends_with(b"\n") {
-                match serde_json::from_slice(&self.read) {
+            self.line.extend_from_slice(piece);
+            if self.line.len() > MAX_LINE_BYTES {
+                self.is_broken = true;
+            } else if self.line.ends_with(b"\n") {
+                match serde_json::from_slice(&self.line) {
                     Ok(message) => messages.push(message),
-                    Err(_) => self.broken = true,
+                    Err(_) => self.is_broken = true,
                 }
-                self.read.clear();
+                self.line.clear();
             }
         }
         messages
     }
 
     /// Whether what came can't be read.
-    pub fn broken(&self) -> bool {
-        self.broken
+    pub fn is_broken(&self) -> bool {
+        self.is_broken
     }
 }
