--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -12,7 +12,7 @@
 use crate::api::ListKind;
 use crate::board::Board;
 use crate::config::Config;
-use crate::operate::settings::missing;
+use crate::operate::settings::missing_key;
 use crate::records::Findings;
 use crate::roster::{ListUpdate, ListedServer, Source};
 
@@ -31,7 +31,7 @@
         }
     };
     // A file that is not whole is none: nothing of it is taken.
-    if let Some(field) = missing(&old.raw, &new.raw).filter(|_| !old.raw.is_null()) {
+    if let Some(field) = missing_key(&old.raw, &new.raw).filter(|_| !old.raw.is_null()) {
         shared.node.borrow_mut().reread(false);
         return warn!(event = "reload refused", problem = %format_args!("{field}: missing, though the file in force has it"));
     }
--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -5,7 +5,7 @@
 use crate::broker::Input;
 use crate::config::Config;
 use crate::hook::Hook;
-use crate::operate::settings::{Merged, merge};
+use crate::operate::settings::{MergedSettings, merge};
 use crate::platform::links::Command;
 use crate::platform::timings::Timings;
 use crate::roster::SettingNames;
@@ -24,12 +24,12 @@
             |tenant| self.broker.uses_tenant(tenant) || titles.iter().any(|(_, t)| *t == tenant),
         );
         self.refront(config, &merged);
-        let Merged { settings, names, waits, .. } = merged;
+        let MergedSettings { settings, names, deferred, .. } = merged;
         self.timings = Timings::new(&settings, config.idle, config.connect_timeout);
         self.links.update_timings(self.timings);
         (self.names, self.settings, self.renamed_at) = (names, settings.clone(), now);
         self.tell(now, Input::Settings(Box::new(settings)), out);
-        waits
+        deferred
     }
 
     /// How the settings in use name things.
@@ -39,7 +39,7 @@
 
     /// Takes in what a new configuration says of the front and the script; what waits or plays is untouched.
     /// Titles and a script that are watched stay as their files have them.
-    fn refront(&mut self, config: &Config, merged: &Merged) {
+    fn refront(&mut self, config: &Config, merged: &MergedSettings) {
         let watch = config.watch.as_ref();
         if watch.is_none_or(|w| w.script.is_none()) {
             self.hook = config.hook.as_ref().and_then(|(text, operations)| Hook::new(text, *operations).ok());
@@ -47,8 +47,8 @@
         if let (Some(whip), Some(new)) = (&mut self.whip, &config.whip) {
             let mut setup = new.setup.clone();
             for title in setup.titles.values_mut() {
-                title.class = merged.classes.get(title.class).copied().unwrap_or(title.class);
-                title.tenant = merged.tenants.get(title.tenant).copied().unwrap_or(title.tenant);
+                title.class = merged.class_numbers.get(title.class).copied().unwrap_or(title.class);
+                title.tenant = merged.tenant_numbers.get(title.tenant).copied().unwrap_or(title.tenant);
             }
             if watch.is_some_and(|w| w.lists.iter().any(|f| f.role == Role::Titles)) {
                 setup.titles = whip.titles().clone();
--- a/src/operate/settings.rs
+++ b/src/operate/settings.rs
@@ -10,23 +10,23 @@
 
 /// Settings with the names that go with them, as they are to be used from now on.
 #[derive(Clone, Debug)]
-pub struct Merged {
+pub struct MergedSettings {
     /// The settings; classes and tenants under the numbers of the table.
     pub settings: Settings,
     /// The names.
     pub names: SettingNames,
     /// The table's number for each class of the new file.
-    pub classes: Vec<usize>,
+    pub class_numbers: Vec<usize>,
     /// The table's number for each tenant of the new file.
-    pub tenants: Vec<usize>,
+    pub tenant_numbers: Vec<usize>,
     /// Fields that differ and wait for the next start.
-    pub waits: Vec<&'static str>,
+    pub deferred: Vec<&'static str>,
 }
 
 /// Places for new entries in a table: an entry that is the same keeps its number, one that is free is taken again
 /// (no name led to it before, and nothing refers to it: what goes only now may still be asked for by requests on
 /// their way), the others go to the end. Gives the numbers, and the entries that no name leads to from now on.
-fn places(
+fn assign_numbers(
     old: usize,
     new: usize,
     same: impl Fn(usize, usize) -> bool,
@@ -50,7 +50,7 @@
 }
 
 /// Puts entries at their places.
-fn put<T: Clone>(old: &[T], new: &[T], numbers: &[usize]) -> Vec<T> {
+fn update_table<T: Clone>(old: &[T], new: &[T], numbers: &[usize]) -> Vec<T> {
     let mut table = old.to_vec();
     for (n, entry) in numbers.iter().zip(new) {
         if *n < table.len() {
@@ -69,86 +69,97 @@
     new: (&Settings, &SettingNames),
     class_in_use: impl Fn(usize) -> bool,
     tenant_in_use: impl Fn(usize) -> bool,
-) -> Merged {
-    let ((had, named), (want, wanted)) = (old, new);
-    let mut settings = want.clone();
-    let mut waits = Vec::new();
+) -> MergedSettings {
+    let ((old_settings, old_names), (new_settings, new_names)) = (old, new);
+    let mut settings = new_settings.clone();
+    let mut deferred = Vec::new();
     // The module's books, and what servers and fronts were told, are shaped by these.
-    let shapes: [(&str, bool); 6] = [
-        ("settings.FamilyInfo.LadderKb", had.rung_kb.len() == want.rung_kb.len()),
-        ("settings.FamilyInfo.Places", had.cells == want.cells),
-        ("settings.FamilyInfo.Racks", had.racks == want.racks),
-        ("settings.Azs", named.zones == wanted.zones),
-        ("settings.Kinds", named.kinds == wanted.kinds),
-        ("settings.Discovery", had.discovery == want.discovery),
+    let fixed_shapes: [(&str, bool); 6] = [
+        ("settings.FamilyInfo.LadderKb", old_settings.rung_kb.len() == new_settings.rung_kb.len()),
+        ("settings.FamilyInfo.Places", old_settings.cells == new_settings.cells),
+        ("settings.FamilyInfo.Racks", old_settings.racks == new_settings.racks),
+        ("settings.Azs", old_names.zones == new_names.zones),
+        ("settings.Kinds", old_names.kinds == new_names.kinds),
+        ("settings.Discovery", old_settings.discovery == new_settings.discovery),
     ];
-    waits.extend(shapes.into_iter().filter(|(_, same)| !same).map(|(field, _)| field));
-    if waits.contains(&"settings.FamilyInfo.LadderKb") {
-        (settings.rung_kb, settings.rung_worth) = (had.rung_kb.clone(), had.rung_worth.clone());
+    deferred.extend(fixed_shapes.into_iter().filter(|(_, same)| !same).map(|(field, _)| field));
+    if deferred.contains(&"settings.FamilyInfo.LadderKb") {
+        (settings.rung_kb, settings.rung_worth) =
+            (old_settings.rung_kb.clone(), old_settings.rung_worth.clone());
     }
-    (settings.cells, settings.racks, settings.discovery) = (had.cells, had.racks, had.discovery);
-    settings.kind_streams =
-        if waits.is_empty() { want.kind_streams.clone() } else { had.kind_streams.clone() };
+    (settings.cells, settings.racks, settings.discovery) =
+        (old_settings.cells, old_settings.racks, old_settings.discovery);
+    settings.kind_streams = if deferred.is_empty() {
+        new_settings.kind_streams.clone()
+    } else {
+        old_settings.kind_streams.clone()
+    };
 
     let same_class = |o: usize, n: usize| {
-        named.classes.get(o) == wanted.classes.get(n) && had.classes.get(o) == want.classes.get(n)
+        old_names.classes.get(o) == new_names.classes.get(n)
+            && old_settings.classes.get(o) == new_settings.classes.get(n)
     };
-    let (classes, retired) = places(had.classes.len(), want.classes.len(), same_class, |o| {
-        named.retired.contains(&o) && !class_in_use(o)
-    });
-    settings.classes = put(&had.classes, &want.classes, &classes);
+    let (class_numbers, retired) =
+        assign_numbers(old_settings.classes.len(), new_settings.classes.len(), same_class, |o| {
+            old_names.retired.contains(&o) && !class_in_use(o)
+        });
+    settings.classes = update_table(&old_settings.classes, &new_settings.classes, &class_numbers);
     // A tenant's share may change under its requests: it is not theirs but the tenant's.
-    let same_tenant = |o: usize, n: usize| named.tenants.get(o) == wanted.tenants.get(n);
-    let (tenants, retired_tenants) = places(had.tenants.len(), want.tenants.len(), same_tenant, |o| {
-        named.retired_tenants.contains(&o) && !tenant_in_use(o)
-    });
-    settings.tenants = put(&had.tenants, &want.tenants, &tenants);
+    let same_tenant = |o: usize, n: usize| old_names.tenants.get(o) == new_names.tenants.get(n);
+    let (tenant_numbers, retired_tenants) =
+        assign_numbers(old_settings.tenants.len(), new_settings.tenants.len(), same_tenant, |o| {
+            old_names.retired_tenants.contains(&o) && !tenant_in_use(o)
+        });
+    settings.tenants = update_table(&old_settings.tenants, &new_settings.tenants, &tenant_numbers);
     let names = SettingNames {
-        classes: put(&named.classes, &wanted.classes, &classes),
-        tenants: put(&named.tenants, &wanted.tenants, &tenants),
-        zones: named.zones.clone(),
-        kinds: named.kinds.clone(),
+        classes: update_table(&old_names.classes, &new_names.classes, &class_numbers),
+        tenants: update_table(&old_names.tenants, &new_names.tenants, &tenant_numbers),
+        zones: old_names.zones.clone(),
+        kinds: old_names.kinds.clone(),
         retired,
         retired_tenants,
         lately: true,
     };
-    Merged { settings, names, classes, tenants, waits }
+    MergedSettings { settings, names, class_numbers, tenant_numbers, deferred }
 }
 
 /// Keys that a class must have, as without them it would mean something else.
-const OF_A_CLASS: [&str; 4] = ["Name", "Effect", "Slo", "Deadline"];
+const REQUIRED_CLASS_KEYS: [&str; 4] = ["Name", "Effect", "Slo", "Deadline"];
 /// Keys that may come and go.
-const OPTIONAL: [&str; 4] = ["console", "known", "board", "seed"];
+const OPTIONAL_KEYS: [&str; 4] = ["console", "known", "board", "seed"];
 
 /// The path of a key that the file in force has and a new one lacks: the platform writes whole files.
-pub fn missing(old: &Value, new: &Value) -> Option<String> {
-    let lacks = |old: &Value, new: &Value, path: &str| -> Option<String> {
+pub fn missing_key(old: &Value, new: &Value) -> Option<String> {
+    let missing_in = |old: &Value, new: &Value, path: &str| -> Option<String> {
         let old = old.as_object()?;
-        let gone = |key: &&String| new.get(key.as_str()).is_none_or(Value::is_null);
-        let key = old.iter().filter(|(_, v)| !v.is_null()).map(|(k, _)| k).find(gone)?;
+        let is_missing = |key: &&String| new.get(key.as_str()).is_none_or(Value::is_null);
+        let key = old.iter().filter(|(_, v)| !v.is_null()).map(|(k, _)| k).find(is_missing)?;
         Some(format!("{path}{key}"))
     };
     let mut root = old.clone();
     if let Some(root) = root.as_object_mut() {
-        OPTIONAL.iter().for_each(|key| drop(root.remove(*key)));
+        OPTIONAL_KEYS.iter().for_each(|key| drop(root.remove(*key)));
     }
-    let (had, has) = (&old["settings"], &new["settings"]);
-    let parts = ["Limits", "Rules", "FamilyInfo"];
-    let of_class = || {
-        let classes = has["RequestClasses"].as_array()?;
-        let all_had =
-            |key: &str| had["RequestClasses"].as_array().is_some_and(|c| c.iter().all(|c| !c[key].is_null()));
+    let (old_settings, new_settings) = (&old["settings"], &new["settings"]);
+    let sections = ["Limits", "Rules", "FamilyInfo"];
+    let missing_class_key = || {
+        let classes = new_settings["RequestClasses"].as_array()?;
+        let all_had = |key: &str| {
+            old_settings["RequestClasses"].as_array().is_some_and(|c| c.iter().all(|c| !c[key].is_null()))
+        };
         classes.iter().enumerate().find_map(|(i, class)| {
-            let key = OF_A_CLASS.iter().find(|key| class[**key].is_null() && all_had(key))?;
+            let key = REQUIRED_CLASS_KEYS.iter().find(|key| class[**key].is_null() && all_had(key))?;
             Some(format!("settings.RequestClasses[{i}].{key}"))
         })
     };
-    lacks(&root, new, "")
-        .or_else(|| lacks(had, has, "settings."))
+    missing_in(&root, new, "")
+        .or_else(|| missing_in(old_settings, new_settings, "settings."))
         .or_else(|| {
-            parts.iter().find_map(|part| lacks(&had[*part], &has[*part], &format!("settings.{part}.")))
+            sections.iter().find_map(|section| {
+                missing_in(&old_settings[*section], &new_settings[*section], &format!("settings.{section}."))
+            })
         })
-        .or_else(of_class)
+        .or_else(missing_class_key)
 }
 
 #[cfg(test)]
@@ -171,7 +182,11 @@
         (settings, names)
     }
 
-    fn merged(old: &(Settings, SettingNames), new: &(Settings, SettingNames), in_use: &[usize]) -> Merged {
+    fn merged(
+        old: &(Settings, SettingNames),
+        new: &(Settings, SettingNames),
+        in_use: &[usize],
+    ) -> MergedSettings {
         merge((&old.0, &old.1), (&new.0, &new.1), |n| in_use.contains(&n), |n| in_use.contains(&n))
     }
 
@@ -185,11 +200,11 @@
             &["lee", "home"],
         );
         let got = merged(&old, &new, &[0, 1]);
-        assert_eq!(got.classes, [2, 0, 3]);
+        assert_eq!(got.class_numbers, [2, 0, 3]);
         assert_eq!(got.settings.classes[1].idempotency, Idempotency::Safe, "under way");
-        let named = |name: &str| got.names.class(name);
-        assert_eq!((named("clip"), named("paid"), named("new")), (Some(2), Some(0), Some(3)));
-        assert_eq!(got.tenants, [1, 0]);
+        let number = |name: &str| got.names.class(name);
+        assert_eq!((number("clip"), number("paid"), number("new")), (Some(2), Some(0), Some(3)));
+        assert_eq!(got.tenant_numbers, [1, 0]);
         let gone = merged(&(got.settings, got.names), &of(&[("new", Idempotency::Safe)], &["home"]), &[0]);
         assert_eq!((gone.names.class("paid"), gone.names.class("new")), (Some(0), Some(3)), "on their way");
         let names = SettingNames { lately: false, ..gone.names };
@@ -219,11 +234,11 @@
         let class = json!({"Name": "paid", "Effect": "read_like", "Slo": 1, "Deadline": 2});
         let old = json!({"name": "n", "listen": "x", "known": {}, "limits": {"sockets": 1},
             "settings": {"Fees": {}, "Limits": {"AttemptsCap": 4}, "RequestClasses": [class]}});
-        assert_eq!(missing(&old, &old), None);
+        assert_eq!(missing_key(&old, &old), None);
         let without = |path: &str, key: &str| {
             let mut new = old.clone();
             new.pointer_mut(path).unwrap().as_object_mut().unwrap().remove(key);
-            missing(&old, &new)
+            missing_key(&old, &new)
         };
         for (path, key, told) in [
             ("", "limits", "limits"),
