--- a/src/board.rs
+++ b/src/board.rs
@@ -11,17 +11,17 @@
 use crate::api::{ListKind, Micros, ServerEntry, ServerId, ServerState};
 use crate::http::{HttpError, client, sse};
 use crate::roster::{ListUpdate, ListedServer, SettingNames};
-use patience::Patience;
+use patience::ProgressTimeout;
 
 /// A comment comes each second: a board that says nothing for so long is asked anew.
-pub const SILENCE: Micros = Micros(2_500_000);
+pub const SILENCE_TIMEOUT: Micros = Micros(2_500_000);
 /// Time between tries to reach a board.
-pub const RETRY: Micros = Micros(200_000);
+pub const RETRY_DELAY: Micros = Micros(200_000);
 /// A board that doesn't accept a connection within this is tried again.
-pub const CONNECT: Micros = Micros(400_000);
+pub const CONNECT_TIMEOUT: Micros = Micros(400_000);
 
 /// After so many askings for the same event a board is taken at its word: what can't be read is left out.
-const ASKINGS: u32 = 4;
+const MAX_FAILED_READS: u32 = 4;
 
 /// Why a board is asked again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,69 +61,80 @@
 
 /// Follows one board.
 #[derive(Debug)]
-pub struct Board {
+pub struct BoardClient {
     names: SettingNames,
-    last: u64,
+    last_event: u64,
     /// Askings since an event was taken in that found one missing or broken.
-    troubled: u32,
+    failed_reads: u32,
     stream: Option<sse::Stream>,
-    patience: Patience,
+    timeout: ProgressTimeout,
 }
 
-impl Board {
+impl BoardClient {
     /// Takes in the events of the start.
-    pub fn new(names: SettingNames, known: &Value) -> (Board, Vec<ListUpdate>) {
-        let mut board = Board { names, last: 0, troubled: 0, stream: None, patience: Patience::default() };
-        let news = board.take(known, true);
-        board.last = known.get("rev").and_then(Value::as_u64).unwrap_or(board.last);
-        (board, news)
+    pub fn new(names: SettingNames, known: &Value) -> (BoardClient, Vec<ListUpdate>) {
+        let mut board = BoardClient {
+            names,
+            last_event: 0,
+            failed_reads: 0,
+            stream: None,
+            timeout: ProgressTimeout::default(),
+        };
+        let updates = board.apply_all(known, true);
+        board.last_event = known.get("rev").and_then(Value::as_u64).unwrap_or(board.last_event);
+        (board, updates)
     }
 
     /// Takes in the events of a new configuration, but for those that were heard before: the list is never wound
     /// back. Behind one that is missing the board itself is asked.
-    pub fn known(&mut self, known: &Value) -> Vec<ListUpdate> {
-        self.take(known, false)
+    pub fn apply_known(&mut self, known: &Value) -> Vec<ListUpdate> {
+        self.apply_all(known, false)
     }
 
-    fn take(&mut self, known: &Value, anyway: bool) -> Vec<ListUpdate> {
+    fn apply_all(&mut self, known: &Value, is_lenient: bool) -> Vec<ListUpdate> {
         let notices = known.get("notices").and_then(Value::as_array);
-        let read = |n: &Value| self.notice(n, None, anyway).ok().flatten();
+        let read = |notice: &Value| self.apply_event(notice, None, is_lenient).ok().flatten();
         notices.into_iter().flatten().filter_map(read).collect()
     }
 
     /// The number of the last event that was taken in.
-    pub fn last(&self) -> u64 {
-        self.last
+    pub fn last_event(&self) -> u64 {
+        self.last_event
     }
 
     /// The connection is given up if nothing that is whole comes by then.
-    pub fn awaited_until(&self) -> Micros {
-        self.patience.until()
+    pub fn deadline(&self) -> Micros {
+        self.timeout.deadline()
     }
 
     /// What to write on a fresh connection.
     pub fn request(&mut self, now: Micros, host: &str) -> Vec<u8> {
-        self.patience.begin(now);
+        self.timeout.begin(now);
         self.stream = Some(sse::Stream::default());
-        let last = self.last.to_string();
+        let last = self.last_event.to_string();
         let headers = [("Accept", "text/event-stream"), ("Last-Event-ID", last.as_str())];
         client::request("GET", host, "/board/poll", &headers, None)
     }
 
     /// Takes bytes of the connection in and hands over what is new, also before an error, which ends the
     /// connection: the board is then asked again from the last event that was read.
-    pub fn bytes(&mut self, now: Micros, bytes: &[u8], news: &mut Vec<ListUpdate>) -> Result<(), BoardError> {
+    pub fn receive(
+        &mut self,
+        now: Micros,
+        bytes: &[u8],
+        updates: &mut Vec<ListUpdate>,
+    ) -> Result<(), BoardError> {
         let Some(stream) = &mut self.stream else { return Ok(()) };
-        let mut whole = Vec::new();
-        let read = stream.feed(bytes, &mut whole);
-        self.patience.heard(now, stream.progress());
-        for event in whole {
+        let mut events = Vec::new();
+        let read = stream.feed(bytes, &mut events);
+        self.timeout.progressed(now, stream.progress());
+        for event in events {
             let number = event.id.and_then(|id| id.trim().parse().ok());
             let value = serde_json::from_str::<Value>(&event.data).unwrap_or(Value::Null);
-            match self.notice(&value, number, self.troubled >= ASKINGS) {
-                Ok(told) => news.extend(told),
+            match self.apply_event(&value, number, self.failed_reads >= MAX_FAILED_READS) {
+                Ok(update) => updates.extend(update),
                 Err(error) => {
-                    self.troubled += 1;
+                    self.failed_reads += 1;
                     self.stream = None;
                     return Err(error);
                 }
@@ -133,43 +144,47 @@
     }
 
     /// Takes one event in, unless it was heard before. It counts as heard only once it could be read, and only
-    /// behind the one before it; `anyway`, as far as it can be read.
-    fn notice(
+    /// behind the one before it; `is_lenient`, as far as it can be read.
+    fn apply_event(
         &mut self,
         value: &Value,
         number: Option<u64>,
-        anyway: bool,
+        is_lenient: bool,
     ) -> Result<Option<ListUpdate>, BoardError> {
         let number = number.or_else(|| value.get("rev").and_then(Value::as_u64));
-        let Some(number) = number else { return if anyway { Ok(None) } else { Err(BoardError::Unreadable) } };
-        if number <= self.last {
+        let Some(number) = number else {
+            return if is_lenient { Ok(None) } else { Err(BoardError::Unreadable) };
+        };
+        if number <= self.last_event {
             return Ok(None);
         }
         let pool = value.get("pool").unwrap_or(value);
-        let all = pool.get("all").and_then(Value::as_bool).unwrap_or(false);
+        let is_complete = pool.get("all").and_then(Value::as_bool).unwrap_or(false);
         let targets = pool.get("targets").and_then(Value::as_array);
         let servers: Option<Vec<ListedServer>> =
-            targets.and_then(|targets| targets.iter().map(|t| listed(t, &self.names)).collect());
+            targets.and_then(|targets| targets.iter().map(|t| parse_server(t, &self.names)).collect());
         let servers = match servers {
             Some(servers) => servers,
-            None if anyway => targets.into_iter().flatten().filter_map(|t| listed(t, &self.names)).collect(),
+            None if is_lenient => {
+                targets.into_iter().flatten().filter_map(|t| parse_server(t, &self.names)).collect()
+            }
             None => return Err(BoardError::Unreadable),
         };
         // A whole list makes up for all that was missed before it.
-        if number > self.last + 1 && !all && !anyway {
+        if number > self.last_event + 1 && !is_complete && !is_lenient {
             return Err(BoardError::Gap);
         }
-        (self.last, self.troubled) = (number, 0);
+        (self.last_event, self.failed_reads) = (number, 0);
         if targets.is_none() {
             return Ok(None);
         }
-        let kind = if all { ListKind::Complete } else { ListKind::Changes };
+        let kind = if is_complete { ListKind::Complete } else { ListKind::Changes };
         Ok(Some(ListUpdate { kind, servers }))
     }
 }
 
 /// Reads one line, if it can be read.
-pub fn listed(target: &Value, names: &SettingNames) -> Option<ListedServer> {
+pub fn parse_server(target: &Value, names: &SettingNames) -> Option<ListedServer> {
     let text = |key: &str| target.get(key).and_then(Value::as_str);
     let number = |key: &str| target.get(key).and_then(Value::as_f64).filter(|x| x.is_finite());
     let index =
--- a/src/net/board.rs
+++ b/src/net/board.rs
@@ -26,7 +26,7 @@
             continue;
         };
         let end = |reason: &str| {
-            info!(event = "end", peer = %format_args!("board:{address}"), reason, last = shared.board.borrow().last());
+            info!(event = "end", peer = %format_args!("board:{address}"), reason, last = shared.board.borrow().last_event());
         };
         let moved = async {
             shared.board_moved.heard().await;
@@ -39,7 +39,7 @@
                 Ok(reason) => end(reason),
                 Err(error) => end(code(&error)),
             }
-            let retry = if mutant::is_active(Mutant::LateRetry) { LATE_RETRY } else { board::RETRY };
+            let retry = if mutant::is_active(Mutant::LateRetry) { LATE_RETRY } else { board::RETRY_DELAY };
             Timer::after(micros(retry)).await;
         };
         // A new address is asked at once, also in the middle of a dial or of the wait before the next.
@@ -55,22 +55,22 @@
         within(micros(shared.timings.get().board_connect), Async::<TcpStream>::connect(address)).await?;
     let stream = Rc::new(connected);
     let request = shared.board.borrow_mut().request(shared.now(), &address.to_string());
-    within(micros(board::SILENCE), (&*stream).write_all(&request)).await?;
+    within(micros(board::SILENCE_TIMEOUT), (&*stream).write_all(&request)).await?;
     shared.board_over.set(None);
     *shared.board_stream.borrow_mut() = Some(stream.clone());
     loop {
         // What was heard out before a set-up counts too: the wait is for what is whole, however it was heard.
-        let until = shared.board.borrow().awaited_until();
+        let until = shared.board.borrow().deadline();
         match within(micros(until - shared.now()), stream.readable()).await {
             Ok(()) => {}
-            Err(_) if shared.board.borrow().awaited_until() > until => {}
+            Err(_) if shared.board.borrow().deadline() > until => {}
             Err(error) => return Err(error),
         }
         hear_out(shared);
         if let Some(reason) = shared.board_over.take() {
             return Ok(reason);
         }
-        if shared.now() >= shared.board.borrow().awaited_until() {
+        if shared.now() >= shared.board.borrow().deadline() {
             return Err(io::ErrorKind::TimedOut.into());
         }
     }
@@ -92,7 +92,7 @@
 
 fn hear(shared: &Handle, bytes: &[u8]) -> Result<(), BoardError> {
     let mut news = Vec::new();
-    let read = shared.board.borrow_mut().bytes(shared.now(), bytes, &mut news);
+    let read = shared.board.borrow_mut().receive(shared.now(), bytes, &mut news);
     for news in news {
         files::hear(shared, Source::Board, news);
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -37,7 +37,7 @@
 use tracing::info;
 
 use crate::api::{Micros, SessionId};
-use crate::board::Board;
+use crate::board::BoardClient;
 use crate::config::Config;
 use crate::mutant::{self, Mutant};
 use crate::node::Node;
@@ -63,7 +63,7 @@
     clock: Clock,
     bell: Bell,
     buffer: RefCell<Vec<u8>>,
-    board: RefCell<Board>,
+    board: RefCell<BoardClient>,
     roster: RefCell<Roster>,
     /// Rings when the list has changed, or when one is held back.
     listed: Bell,
@@ -90,7 +90,7 @@
 }
 
 impl Shared {
-    fn new(config: &Config, board: Board) -> Handle {
+    fn new(config: &Config, board: BoardClient) -> Handle {
         // Only lists from watched files are ever held back.
         let never = ShrinkLimit { most_dropped: 1.0, hold: Micros(0) };
         let plausible = config.watch.as_ref().map_or(never, |w| w.plausible);
--- a/src/net/run.rs
+++ b/src/net/run.rs
@@ -21,7 +21,7 @@
 use super::registry::take_part;
 use super::signals::{signals, whole};
 use super::{Handle, Shared, files, handover, inherit, keep_time, quorum, step};
-use crate::board::Board;
+use crate::board::BoardClient;
 use crate::config::Config;
 use crate::eureka::Eureka;
 use crate::node::Protocol;
@@ -149,7 +149,7 @@
     #[cfg(feature = "trials")]
     crate::mutant::set_active(crate::mutant::from_environment());
     let heard = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
-    let (board, known) = Board::new(config.names.clone(), &config.known);
+    let (board, known) = BoardClient::new(config.names.clone(), &config.known);
     let shared = Shared::new(config, board);
     shared.node.borrow_mut().trace(trace);
     let watched = hear_of_servers(&shared, config, known);
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -10,7 +10,7 @@
 use super::outbox::Bell;
 use super::{Handle, files, quorum, step};
 use crate::api::ListKind;
-use crate::board::Board;
+use crate::board::BoardClient;
 use crate::config::Config;
 use crate::operate::settings::missing_key;
 use crate::records::Findings;
@@ -41,10 +41,10 @@
         warn!(event = "reload", field, "reload {field}: changed, waits for the next start");
     }
     let news = if new.board.is_some() || new.known == old.known {
-        shared.board.borrow_mut().known(&new.known)
+        shared.board.borrow_mut().apply_known(&new.known)
     } else {
         // A list without a board has no numbers: it is taken as a whole.
-        Board::new(old.names.clone(), &new.known).1
+        BoardClient::new(old.names.clone(), &new.known).1
     };
     let timings = shared.node.borrow().timings();
     shared.timings.set(timings);
@@ -59,7 +59,7 @@
     }
     (old.board, old.known, old.servers, old.raw) = (new.board, new.known, new.servers, new.raw);
     shared.node.borrow_mut().reread(true);
-    info!(event = "reloaded", last = shared.board.borrow().last());
+    info!(event = "reloaded", last = shared.board.borrow().last_event());
 }
 
 /// Hears the signals as long as the program runs: SIGHUP reloads, the first of the others rings to stop.
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -13,7 +13,7 @@
 fn process() -> (Handle, Config) {
     let settings = include_str!("../../deploy/operator.toml");
     let config = Config::read(&toml::from_str(settings).unwrap()).unwrap();
-    let shared = Shared::new(&config, Board::new(config.names.clone(), &serde_json::Value::Null).0);
+    let shared = Shared::new(&config, BoardClient::new(config.names.clone(), &serde_json::Value::Null).0);
     (shared, config)
 }
 
--- a/src/platform/timings.rs
+++ b/src/platform/timings.rs
@@ -4,8 +4,8 @@
 use crate::api::{Micros, Settings};
 use crate::board;
 
-/// A client must be told within 8 s of the end of a session whose server could send no release (protocol page, rules on
-/// sockets).
+/// A client must be told within 8 s of the end of a session whose server could send no release (protocol page,
+/// rules on sockets).
 const END_TOLD_WITHIN: Micros = Micros(8_000_000);
 /// What is kept of that for the timers between two checks and for the client's line.
 const END_SPARE: Micros = Micros(500_000);
@@ -15,8 +15,8 @@
 const SILENT_LEAST: Micros = Micros(1_000_000);
 /// How much later than due a server's notes may come before the server is checked.
 const NOTES_SPARE: Micros = Micros(500_000);
-/// A connection that was idle for nearly as long as servers allow carries nothing new: a set-up that crosses its close
-/// could be neither proved nor disproved to have run.
+/// A connection that was idle for nearly as long as servers allow carries nothing new: a set-up that crosses its
+/// close could be neither proved nor disproved to have run.
 const IDLE_SPARE: Micros = Micros(3_000_000);
 /// Where servers close idle connections soon, no more than this part of their time is kept away from.
 const IDLE_SPARE_PART: u64 = 4;
@@ -24,8 +24,8 @@
 const STALLED_LEAST: Micros = Micros(2_000_000);
 /// Requests of a class that went are read for at least so long, however short the deadlines.
 const RENAMED_LEAST: Micros = Micros(2_000_000);
-/// The longest dial of the notice board: with [`board::SILENCE`] and [`board::RETRY`] before it, a board that fell silent
-/// is heard again within the 4 s after which its events count as told.
+/// The longest dial of the notice board: with [`board::SILENCE_TIMEOUT`] and [`board::RETRY_DELAY`] before it, a
+/// board that fell silent is heard again within the 4 s after which its events count as told.
 const BOARD_CONNECT_MOST: Micros = Micros(1_000_000);
 
 /// Time limits that follow from a deployment's settings; derived anew from each new configuration.
@@ -67,7 +67,7 @@
         Timings {
             longest_deadline,
             connect,
-            board_connect: board::CONNECT.max(connect).min(BOARD_CONNECT_MOST),
+            board_connect: board::CONNECT_TIMEOUT.max(connect).min(BOARD_CONNECT_MOST),
             idle,
             idle_spare: IDLE_SPARE.min(Micros(idle.0 / IDLE_SPARE_PART)),
             tell: settings.load_note_interval,
--- a/src/platform/timings/tests.rs
+++ b/src/platform/timings/tests.rs
@@ -44,7 +44,7 @@
         let timings = Timings::new(&settings(&[3_000], 3_000, 1_000), ms(30_000), ms(connect));
         assert_eq!(timings.board_connect, ms(board));
         // A board that fell silent speaks again before its events count as told, 4 s after it fell silent.
-        assert!(board::SILENCE + board::RETRY + timings.board_connect < ms(4_000));
+        assert!(board::SILENCE_TIMEOUT + board::RETRY_DELAY + timings.board_connect < ms(4_000));
     }
 }
 
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,7 +1,7 @@
 //! Every parser against random cuts of valid messages and random garbage, from fixed seeds.
 
 use amberspindle::api::{Micros, SessionId};
-use amberspindle::board::Board;
+use amberspindle::board::BoardClient;
 use amberspindle::http::{client, server, sse};
 use amberspindle::message::line::Line;
 use amberspindle::message::{Kind, LARGEST, Malformed, binary, line};
@@ -151,7 +151,7 @@
         let (mut packets, mut viewer, mut requests) =
             (binary::Decoder::default(), Viewer::default(), server::Decoder::default());
         let (mut reader, mut events) = (client::Reader::default(), sse::Decoder::default());
-        let (mut board, _) = Board::new(SettingNames::default(), &serde_json::Value::Null);
+        let (mut board, _) = BoardClient::new(SettingNames::default(), &serde_json::Value::Null);
         board.request(Micros(0), "h");
         let mut links = Links::new(Timings::new(&settings, Micros(1), Micros(1)));
         cut(&bytes, &cuts, |piece| {
@@ -171,7 +171,7 @@
             let mut body = Vec::new();
             let _ = reader.feed(piece, &mut body);
             let _ = events.feed(piece, &mut Vec::new());
-            let _ = board.bytes(Micros(0), piece, &mut Vec::new());
+            let _ = board.receive(Micros(0), piece, &mut Vec::new());
             let heard = links.bytes(Micros(5), ConnId(1), piece, &mut Vec::new()).1;
             assert!(heard.is_empty(), "an unknown connection says nothing");
         });
