--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -22,7 +22,7 @@
         if let Some(tracer) = &mut self.tracer {
             let most = self.settings.classes.get(request.class).map_or(Rung(0), |class| class.top);
             let class = (named(&self.names.classes, request.class), most);
-            tracer.asked(now, &request, class, named(&self.names.tenants, request.tenant));
+            tracer.request_received(now, &request, class, named(&self.names.tenants, request.tenant));
         }
         if self.phase.rejects_requests(now) {
             // Nothing of it was sent on, and this process ends or drains: another one takes it.
@@ -77,7 +77,7 @@
             self.figures.record_withdrawal(*id);
         }
         if let Some(tracer) = &mut self.tracer {
-            tracer.told(now, &input);
+            tracer.record_input(now, &input);
         }
         let mut effects = Vec::new();
         self.broker.handle(now, input, &mut effects);
@@ -89,7 +89,7 @@
     pub(super) fn carry_out(&mut self, now: Micros, effect: Effect, out: &mut Vec<Command>) {
         self.observed(&effect);
         if let Some(tracer) = &mut self.tracer {
-            tracer.decided(now, &effect);
+            tracer.record_effect(now, &effect);
         }
         match &effect {
             Effect::Refused(id, _) => {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -150,7 +150,7 @@
 
     /// What is to be told of requests since the last call, and when each was.
     pub fn take_trace(&mut self) -> Vec<(Micros, Traced)> {
-        self.tracer.as_mut().map(Tracer::take).unwrap_or_default()
+        self.tracer.as_mut().map(Tracer::take_events).unwrap_or_default()
     }
 
     /// Requests that are owed an answer, and sessions that stand.
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -14,7 +14,7 @@
     pub(super) fn dialled(&mut self, now: Micros, server: &ServerId, why: &str, fresh: &[Command]) {
         if let Some(tracer) = &mut self.tracer {
             let dials = fresh.iter().filter(|c| matches!(c, Command::Dial(..)));
-            dials.for_each(|_| tracer.dial(now, server, why));
+            dials.for_each(|_| tracer.connection_opened(now, server, why));
         }
     }
 
@@ -96,9 +96,9 @@
         let servers: Vec<ServerEntry> = news.servers.into_iter().map(|l| l.entry).collect();
         let servers = self.allowed(servers);
         if let Some(tracer) = &mut self.tracer {
-            tracer.listed(&servers);
+            tracer.update_servers(&servers);
             if news.kind == ListKind::Complete {
-                tracer.only(|id| self.servers.contains_key(id));
+                tracer.retain_servers(|id| self.servers.contains_key(id));
             }
         }
         self.tell(now, Input::Servers { kind: news.kind, servers }, out);
@@ -175,7 +175,7 @@
     pub(super) fn send(&mut self, now: Micros, set_up: &SetUp, out: &mut Vec<Command>) {
         let class = self.names.classes.get(set_up.class).cloned().unwrap_or_default();
         if let Some(tracer) = &mut self.tracer {
-            tracer.sent(now, set_up.id, &set_up.server, set_up.rung);
+            tracer.set_up_sent(now, set_up.id, &set_up.server, set_up.rung);
         }
         let before = out.len();
         let sent = if self.pool.serves(&set_up.server) {
--- a/src/node/viewers.rs
+++ b/src/node/viewers.rs
@@ -126,7 +126,7 @@
     ) {
         let home = home.filter(|conn| self.viewers.contains_key(conn));
         if let Some(tracer) = &mut self.tracer {
-            tracer.replied(now, id, home);
+            tracer.reply_sent(now, id, home);
         }
         // A session that stands is marked: it ends if its client can't be told of it.
         let (line, mark) = match reply {
--- a/src/trace/budget.rs
+++ b/src/trace/budget.rs
@@ -13,31 +13,31 @@
 #[derive(Debug)]
 pub(super) struct Budget {
     per_s: f64,
-    left: f64,
-    at: Option<Micros>,
+    lines_left: f64,
+    refilled_at: Option<Micros>,
 }
 
 impl Budget {
     /// A full bucket.
     pub(super) fn new(per_s: f64) -> Budget {
-        Budget { per_s, left: per_s * BURST_S, at: None }
+        Budget { per_s, lines_left: per_s * BURST_S, refilled_at: None }
     }
 
     /// What has come in since the last call.
     pub(super) fn refill(&mut self, now: Micros) {
-        let since = self.at.replace(now).map_or(Micros(0), |at| now - at);
-        self.left = (self.left + since.secs() * self.per_s).min(self.per_s * BURST_S);
+        let elapsed = self.refilled_at.replace(now).map_or(Micros(0), |at| now - at);
+        self.lines_left = (self.lines_left + elapsed.secs() * self.per_s).min(self.per_s * BURST_S);
     }
 
     /// Whether a new session may be told.
-    pub(super) fn admits(&self) -> bool {
-        self.left >= SESSION_LINES.min(self.per_s)
+    pub(super) fn admits_session(&self) -> bool {
+        self.lines_left >= SESSION_LINES.min(self.per_s)
     }
 
     /// Takes a line, if that is allowed.
-    pub(super) fn line(&mut self) -> bool {
-        let allowed = self.left > -self.per_s * OVERDRAFT_S;
-        self.left -= f64::from(u8::from(allowed));
-        allowed
+    pub(super) fn take_line(&mut self) -> bool {
+        let is_allowed = self.lines_left > -self.per_s * OVERDRAFT_S;
+        self.lines_left -= f64::from(u8::from(is_allowed));
+        is_allowed
     }
 }
--- a/src/trace/known.rs
+++ b/src/trace/known.rs
@@ -4,46 +4,54 @@
 
 /// What is known of a session that is told.
 #[derive(Debug)]
-pub(super) struct Traced {
-    pub(super) asked: Micros,
+pub(super) struct TracedSession {
+    pub(super) received_at: Micros,
     pub(super) top: u64,
     pub(super) rung: u64,
     pub(super) attempts: u64,
     /// Where the attempt that is out went, and when.
-    pub(super) out: Option<(ServerId, Micros)>,
+    pub(super) attempt: Option<(ServerId, Micros)>,
     /// How the last attempt ended.
-    pub(super) last: &'static str,
+    pub(super) last_status: &'static str,
     /// Where it plays.
-    pub(super) stands: Option<ServerId>,
+    pub(super) server: Option<ServerId>,
 }
 
 /// What is known of a listed server.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Known {
-    pub(super) heard: Option<Micros>,
-    pub(super) up: Option<Micros>,
+pub(super) struct KnownServer {
+    pub(super) last_heard: Option<Micros>,
+    pub(super) up_since: Option<Micros>,
     pub(super) zone: u32,
 }
 
-impl Traced {
+impl TracedSession {
     /// A request that has just come.
-    pub(super) fn asked(now: Micros, top: u64) -> Traced {
-        Traced { asked: now, top, rung: 0, attempts: 0, out: None, last: "unsent", stands: None }
+    pub(super) fn new(now: Micros, top: u64) -> TracedSession {
+        TracedSession {
+            received_at: now,
+            top,
+            rung: 0,
+            attempts: 0,
+            attempt: None,
+            last_status: "unsent",
+            server: None,
+        }
     }
 
     /// How its last attempt ended.
     pub(super) fn reason(&self) -> String {
-        if self.out.is_some() { "given-up".to_owned() } else { self.last.to_owned() }
+        if self.attempt.is_some() { "given-up".to_owned() } else { self.last_status.to_owned() }
     }
 }
 
 /// Whole milliseconds.
-pub(super) fn ms(span: Micros) -> u64 {
+pub(super) fn whole_ms(span: Micros) -> u64 {
     span.0 / 1000
 }
 
 /// The word for how an attempt or a session ended.
-pub(super) fn word(status: Status) -> &'static str {
+pub(super) fn status_name(status: Status) -> &'static str {
     match status {
         Status::Completed => "completed",
         Status::Errored => "error",
@@ -57,6 +65,6 @@
 }
 
 /// A session's id as on the wire.
-pub(super) fn named(id: SessionId) -> String {
+pub(super) fn id_text(id: SessionId) -> String {
     format!("{:016x}", id.0)
 }
--- a/src/trace/tests.rs
+++ b/src/trace/tests.rs
@@ -93,18 +93,18 @@
     let (mut tracer, at) = (Tracer::new(100), |ms: u64| Micros(1_000_000 + ms * 1000));
     let mut entry = ServerEntry::new(ServerId::new("s"), ServerState::Ready, 0);
     entry.up_since = Some(at(0));
-    tracer.listed(&[entry]);
-    tracer.heard(at(2), &ServerId::new("s"));
-    tracer.asked(at(5), &request(1), ("live", Rung(9)), "acme");
-    tracer.sent(at(6), SessionId(1), &ServerId::new("s"), Some(Rung(2)));
-    tracer.turned(at(9), SessionId(1), Status::Saturated);
-    tracer.sent(at(9), SessionId(1), &ServerId::new("other"), None);
-    tracer.plays(at(40), SessionId(1));
+    tracer.update_servers(&[entry]);
+    tracer.server_heard(at(2), &ServerId::new("s"));
+    tracer.request_received(at(5), &request(1), ("live", Rung(9)), "acme");
+    tracer.set_up_sent(at(6), SessionId(1), &ServerId::new("s"), Some(Rung(2)));
+    tracer.attempt_ended(at(9), SessionId(1), Status::Saturated);
+    tracer.set_up_sent(at(9), SessionId(1), &ServerId::new("other"), None);
+    tracer.session_established(at(40), SessionId(1));
     // What is set at the set-up is no change.
-    tracer.rung(at(41), SessionId(1), Rung(1));
-    tracer.over(at(90), SessionId(1), Some(Status::Completed));
+    tracer.rung_changed(at(41), SessionId(1), Rung(1));
+    tracer.session_ended(at(90), SessionId(1), Some(Status::Completed));
     let (id, s) = (format!("{:016x}", 1), "s".to_owned());
-    let told: Vec<Event> = tracer.take().into_iter().map(|(_, e)| e).collect();
+    let told: Vec<Event> = tracer.take_events().into_iter().map(|(_, e)| e).collect();
     let other = "other".to_owned();
     assert_eq!(
         told[1],
@@ -147,11 +147,11 @@
     let mut told = Vec::new();
     for n in 0..10_000u64 {
         let now = Micros(1_000_000 + n * 1000);
-        tracer.asked(now, &request(n), ("c", Rung(9)), "t");
-        tracer.sent(now, SessionId(n), &ServerId::new("s"), Some(Rung(0)));
-        tracer.plays(now, SessionId(n));
-        tracer.over(now, SessionId(n), None);
-        told.extend(tracer.take());
+        tracer.request_received(now, &request(n), ("c", Rung(9)), "t");
+        tracer.set_up_sent(now, SessionId(n), &ServerId::new("s"), Some(Rung(0)));
+        tracer.session_established(now, SessionId(n));
+        tracer.session_ended(now, SessionId(n), None);
+        told.extend(tracer.take_events());
     }
     // Ten seconds: the budget, what a pause saved, and a line a second on what was left out.
     assert!((400..=620).contains(&told.len()), "{}", told.len());
--- a/src/trace/tracer.rs
+++ b/src/trace/tracer.rs
@@ -7,20 +7,20 @@
 
 use super::Event;
 use super::budget::Budget;
-use super::known::{Known, Traced, ms, named, word};
+use super::known::{KnownServer, TracedSession, id_text, status_name, whole_ms};
 use crate::api::{Micros, Request, Rung, ServerId, SessionId, Status};
 use crate::broker::{Effect, Input};
 use crate::platform::links::ConnId;
 
 /// What was left out is told so often.
-const DROPPED_EVERY: Micros = Micros(1_000_000);
+const DROPPED_REPORT_INTERVAL: Micros = Micros(1_000_000);
 
 /// What is told of one broker's requests. Free of clocks and sockets.
 #[derive(Debug)]
 pub struct Tracer {
     budget: Budget,
-    sessions: BTreeMap<SessionId, Traced>,
-    servers: BTreeMap<ServerId, Known>,
+    sessions: BTreeMap<SessionId, TracedSession>,
+    servers: BTreeMap<ServerId, KnownServer>,
     lines: Vec<(Micros, Event)>,
     dropped: (u64, u64),
     dropped_at: Micros,
@@ -40,7 +40,7 @@
     }
 
     /// What is to be written since the last call.
-    pub fn take(&mut self) -> Vec<(Micros, Event)> {
+    pub fn take_events(&mut self) -> Vec<(Micros, Event)> {
         std::mem::take(&mut self.lines)
     }
 
@@ -51,12 +51,12 @@
 
     fn push(&mut self, now: Micros, event: Event) {
         self.budget.refill(now);
-        if self.budget.line() {
+        if self.budget.take_line() {
             self.lines.push((now, event));
         } else {
             self.dropped.0 += 1;
         }
-        if self.dropped != (0, 0) && now >= self.dropped_at + DROPPED_EVERY {
+        if self.dropped != (0, 0) && now >= self.dropped_at + DROPPED_REPORT_INTERVAL {
             let (lines, sessions) = std::mem::take(&mut self.dropped);
             self.dropped_at = now;
             // This one goes beside the budget: once a second at most.
@@ -65,125 +65,140 @@
     }
 
     /// What the core is told by servers and clients.
-    pub fn told(&mut self, now: Micros, input: &Input) {
+    pub fn record_input(&mut self, now: Micros, input: &Input) {
         match input {
-            Input::Established { server, .. } => self.heard(now, server),
+            Input::Established { server, .. } => self.server_heard(now, server),
             Input::Ended { id, server, status, .. } => {
                 if matches!(status, Status::Saturated | Status::Errored | Status::Completed) {
-                    self.heard(now, server);
+                    self.server_heard(now, server);
                 }
-                self.turned(now, *id, *status);
+                self.attempt_ended(now, *id, *status);
             }
             Input::Note { server, note, .. } => {
-                self.heard(now, server);
-                self.note(now, server, *note);
+                self.server_heard(now, server);
+                self.load_reported(now, server, *note);
             }
             Input::Withdrawn { id, server } if self.sessions.contains_key(id) => {
-                self.push(now, Event::Withdrawn { id: named(*id), server: server.to_string() });
+                self.push(now, Event::Withdrawn { id: id_text(*id), server: server.to_string() });
             }
-            Input::ClientLeft(id) => self.over(now, *id, None),
-            Input::ExistingSession(request, server) => self.opened(now, request, server),
+            Input::ClientLeft(id) => self.session_ended(now, *id, None),
+            Input::ExistingSession(request, server) => self.session_adopted(now, request, server),
             _ => {}
         }
     }
 
     /// What the core decides. Of an attempt that is given up what follows tells why.
-    pub fn decided(&mut self, now: Micros, effect: &Effect) {
+    pub fn record_effect(&mut self, now: Micros, effect: &Effect) {
         match effect {
-            Effect::Withdraw(id, _) => self.turned(now, *id, Status::TimedOut),
-            Effect::Rate(id, _, rung) => self.rung(now, *id, *rung),
-            Effect::Established(id, _) => self.plays(now, *id),
-            Effect::Refused(id, wait) => self.refused(now, *id, *wait),
-            Effect::Failed(id, _) => self.failed(now, *id),
-            Effect::Ended(id, status) => self.over(now, *id, Some(*status)),
-            Effect::Moved(id) => self.moved(now, *id),
+            Effect::Withdraw(id, _) => self.attempt_ended(now, *id, Status::TimedOut),
+            Effect::Rate(id, _, rung) => self.rung_changed(now, *id, *rung),
+            Effect::Established(id, _) => self.session_established(now, *id),
+            Effect::Refused(id, wait) => self.request_refused(now, *id, *wait),
+            Effect::Failed(id, _) => self.request_failed(now, *id),
+            Effect::Ended(id, status) => self.session_ended(now, *id, Some(*status)),
+            Effect::Moved(id) => self.session_moved(now, *id),
             Effect::Release(id, server) => {
-                self.push(now, Event::Released { id: named(*id), server: server.to_string() });
+                self.push(now, Event::Released { id: id_text(*id), server: server.to_string() });
             }
             Effect::SetUp(_) | Effect::Log(_) => {}
         }
     }
 
     /// A client asks, of a class that plays up to a rung.
-    pub fn asked(&mut self, now: Micros, request: &Request, (class, most): (&str, Rung), tenant: &str) {
+    pub fn request_received(
+        &mut self,
+        now: Micros,
+        request: &Request,
+        (class, most): (&str, Rung),
+        tenant: &str,
+    ) {
         self.budget.refill(now);
-        if !self.budget.admits() {
+        if !self.budget.admits_session() {
             self.dropped.1 += 1;
             return;
         }
         let top = request.top.min(most).0 as u64;
-        self.sessions.insert(request.id, Traced::asked(now, top));
+        self.sessions.insert(request.id, TracedSession::new(now, top));
         let (class, tenant, title) = (class.to_owned(), tenant.to_owned(), request.title.to_string());
-        let (id, left_ms, again) = (named(request.id), ms(request.due - now), request.again);
+        let (id, left_ms, again) = (id_text(request.id), whole_ms(request.due - now), request.again);
         self.push(now, Event::Asked { id, class, tenant, title, left_ms, again });
     }
 
     /// A client names a session that plays already; nothing is told of one that is known.
-    fn opened(&mut self, now: Micros, request: &Request, server: &ServerId) {
+    fn session_adopted(&mut self, now: Micros, request: &Request, server: &ServerId) {
         self.budget.refill(now);
-        if self.sessions.contains_key(&request.id) || !self.budget.admits() {
+        if self.sessions.contains_key(&request.id) || !self.budget.admits_session() {
             return;
         }
-        let traced = Traced { stands: Some(server.clone()), ..Traced::asked(now, request.top.0 as u64) };
+        let traced =
+            TracedSession { server: Some(server.clone()), ..TracedSession::new(now, request.top.0 as u64) };
         self.sessions.insert(request.id, traced);
-        let (id, title) = (named(request.id), request.title.to_string());
+        let (id, title) = (id_text(request.id), request.title.to_string());
         self.push(now, Event::Opened { id, title, server: server.to_string() });
     }
 
     /// A set-up goes out.
-    pub fn sent(&mut self, now: Micros, id: SessionId, server: &ServerId, rung: Option<Rung>) {
-        let Some(s) = self.sessions.get_mut(&id) else { return };
-        let Known { heard, up, zone } = self.servers.get(server).copied().unwrap_or_default();
-        let age = |at: Option<Micros>| at.map_or(-1, |at| ms(now - at) as i64);
-        let (attempt, rung) = (s.attempts, rung.map_or(0, |r| r.0 as u64));
-        s.attempts += 1;
-        (s.rung, s.out) = (rung, Some((server.clone(), now)));
-        let (top, held_ms) = (s.top, ms(now - s.asked));
-        let (id, server) = (named(id), server.to_string());
-        let (heard_ms, up_ms) = (age(heard), age(up));
+    pub fn set_up_sent(&mut self, now: Micros, id: SessionId, server: &ServerId, rung: Option<Rung>) {
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let KnownServer { last_heard, up_since, zone } =
+            self.servers.get(server).copied().unwrap_or_default();
+        let age = |at: Option<Micros>| at.map_or(-1, |at| whole_ms(now - at) as i64);
+        let (attempt, rung) = (session.attempts, rung.map_or(0, |r| r.0 as u64));
+        session.attempts += 1;
+        (session.rung, session.attempt) = (rung, Some((server.clone(), now)));
+        let (top, held_ms) = (session.top, whole_ms(now - session.received_at));
+        let (id, server) = (id_text(id), server.to_string());
+        let (heard_ms, up_ms) = (age(last_heard), age(up_since));
         let zone = u64::from(zone);
         self.push(now, Event::Sent { id, attempt, server, zone, rung, top, held_ms, heard_ms, up_ms });
     }
 
     /// An attempt ended without a session, or was given up.
-    pub fn turned(&mut self, now: Micros, id: SessionId, status: Status) {
-        let Some(s) = self.sessions.get_mut(&id).filter(|s| s.stands.is_none()) else { return };
-        let Some((server, sent)) = s.out.take() else { return };
-        s.last = word(status);
-        let (how, took_ms) = (s.last.to_owned(), ms(now - sent));
-        self.push(now, Event::Turned { id: named(id), server: server.to_string(), how, took_ms });
+    pub fn attempt_ended(&mut self, now: Micros, id: SessionId, status: Status) {
+        let Some(session) = self.sessions.get_mut(&id).filter(|session| session.server.is_none()) else {
+            return;
+        };
+        let Some((server, sent)) = session.attempt.take() else { return };
+        session.last_status = status_name(status);
+        let (how, took_ms) = (session.last_status.to_owned(), whole_ms(now - sent));
+        self.push(now, Event::Turned { id: id_text(id), server: server.to_string(), how, took_ms });
     }
 
     /// Final answer: it plays.
-    pub fn plays(&mut self, now: Micros, id: SessionId) {
-        let Some(s) = self.sessions.get_mut(&id) else { return };
-        let server = s.out.take().map(|(server, _)| server).unwrap_or_default();
-        let (attempts, took_ms) = (s.attempts, ms(now - s.asked));
-        s.stands = Some(server.clone());
+    pub fn session_established(&mut self, now: Micros, id: SessionId) {
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let server = session.attempt.take().map(|(server, _)| server).unwrap_or_default();
+        let (attempts, took_ms) = (session.attempts, whole_ms(now - session.received_at));
+        session.server = Some(server.clone());
         let server = server.to_string();
-        self.push(now, Event::Plays { id: named(id), server, attempts, took_ms });
+        self.push(now, Event::Plays { id: id_text(id), server, attempts, took_ms });
     }
 
     /// Final answer: refused, with advice to stay away.
-    pub fn refused(&mut self, now: Micros, id: SessionId, wait: Micros) {
-        let Some(s) = self.sessions.remove(&id) else { return };
-        let (reason, attempts, took_ms) = (s.reason(), s.attempts, ms(now - s.asked));
-        self.push(now, Event::Refused { id: named(id), reason, attempts, took_ms, wait_ms: ms(wait) });
+    pub fn request_refused(&mut self, now: Micros, id: SessionId, wait: Micros) {
+        let Some(session) = self.sessions.remove(&id) else { return };
+        let (reason, attempts, took_ms) =
+            (session.reason(), session.attempts, whole_ms(now - session.received_at));
+        self.push(
+            now,
+            Event::Refused { id: id_text(id), reason, attempts, took_ms, wait_ms: whole_ms(wait) },
+        );
     }
 
     /// Final answer: failed.
-    pub fn failed(&mut self, now: Micros, id: SessionId) {
-        let Some(s) = self.sessions.remove(&id) else { return };
-        let (reason, attempts, took_ms) = (s.reason(), s.attempts, ms(now - s.asked));
-        self.push(now, Event::Failed { id: named(id), reason, attempts, took_ms });
+    pub fn request_failed(&mut self, now: Micros, id: SessionId) {
+        let Some(session) = self.sessions.remove(&id) else { return };
+        let (reason, attempts, took_ms) =
+            (session.reason(), session.attempts, whole_ms(now - session.received_at));
+        self.push(now, Event::Failed { id: id_text(id), reason, attempts, took_ms });
     }
 
     /// A final answer goes to its client's connection, if that is there still.
-    pub fn replied(&mut self, now: Micros, id: SessionId, conn: Option<ConnId>) {
+    pub fn reply_sent(&mut self, now: Micros, id: SessionId, conn: Option<ConnId>) {
         match conn {
-            None => self.push(now, Event::ReplyDropped { id: named(id) }),
+            None => self.push(now, Event::ReplyDropped { id: id_text(id) }),
             Some(conn) if self.sessions.contains_key(&id) => {
-                self.push(now, Event::ReplyQueued { id: named(id), conn: conn.0 });
+                self.push(now, Event::ReplyQueued { id: id_text(id), conn: conn.0 });
             }
             Some(_) => {}
         }
@@ -192,31 +207,31 @@
     /// The answer that a session plays was written whole.
     pub fn reply_written(&mut self, now: Micros, id: SessionId, conn: ConnId) {
         if self.sessions.contains_key(&id) {
-            self.push(now, Event::ReplyWritten { id: named(id), conn: conn.0 });
+            self.push(now, Event::ReplyWritten { id: id_text(id), conn: conn.0 });
         }
     }
 
     /// The rung of a session changes.
-    pub fn rung(&mut self, now: Micros, id: SessionId, rung: Rung) {
-        let Some(s) = self.sessions.get_mut(&id) else { return };
-        let Some(server) = s.stands.as_ref().map(ServerId::to_string) else { return };
-        let (from, rung) = (std::mem::replace(&mut s.rung, rung.0 as u64), rung.0 as u64);
-        self.push(now, Event::Rung { id: named(id), server, from, rung });
+    pub fn rung_changed(&mut self, now: Micros, id: SessionId, rung: Rung) {
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Some(server) = session.server.as_ref().map(ServerId::to_string) else { return };
+        let (from, rung) = (std::mem::replace(&mut session.rung, rung.0 as u64), rung.0 as u64);
+        self.push(now, Event::Rung { id: id_text(id), server, from, rung });
     }
 
     /// A session that stood is over, or its client left.
-    pub fn over(&mut self, now: Micros, id: SessionId, how: Option<Status>) {
-        self.ended(now, id, how.map_or("left", word));
+    pub fn session_ended(&mut self, now: Micros, id: SessionId, how: Option<Status>) {
+        self.end_session(now, id, how.map_or("left", status_name));
     }
 
     /// A session that stood is moved.
-    pub fn moved(&mut self, now: Micros, id: SessionId) {
-        self.ended(now, id, "moved");
+    pub fn session_moved(&mut self, now: Micros, id: SessionId) {
+        self.end_session(now, id, "moved");
     }
 
-    fn ended(&mut self, now: Micros, id: SessionId, how: &str) {
+    fn end_session(&mut self, now: Micros, id: SessionId, how: &str) {
         if self.sessions.remove(&id).is_some() {
-            self.push(now, Event::Over { id: named(id), how: how.to_owned() });
+            self.push(now, Event::Over { id: id_text(id), how: how.to_owned() });
         }
     }
 }
