--- a/src/log.rs
+++ b/src/log.rs
@@ -23,18 +23,18 @@
 
 /// The text of a line.
 #[derive(Default)]
-struct Line {
+struct LineVisitor {
     event: String,
-    words: String,
+    message: String,
     fields: String,
 }
 
-impl Visit for Line {
+impl Visit for LineVisitor {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         use fmt::Write as _;
         // Writing to a text can't fail.
         let _ = match field.name() {
-            "message" => write!(self.words, "{value:?}"),
+            "message" => write!(self.message, "{value:?}"),
             "event" => write!(self.event, "{value:?}"),
             name => write!(self.fields, " {name}={value:?}"),
         };
@@ -42,7 +42,7 @@
 
     fn record_str(&mut self, field: &Field, value: &str) {
         match field.name() {
-            "message" => self.words += value,
+            "message" => self.message += value,
             "event" => self.event += value,
             // What holds a space is quoted, so that a line can be taken apart.
             name if value.contains(|c: char| c == ' ' || c == '"' || c.is_control()) => {
@@ -53,9 +53,9 @@
     }
 }
 
-struct Text;
+struct TextFormat;
 
-impl<S, N> FormatEvent<S, N> for Text
+impl<S, N> FormatEvent<S, N> for TextFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -66,24 +66,24 @@
         mut writer: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        let mut line = Line::default();
+        let mut line = LineVisitor::default();
         event.record(&mut line);
-        if line.words.is_empty() {
+        if line.message.is_empty() {
             writeln!(writer, "{}{}", line.event, line.fields)
         } else {
-            writeln!(writer, "{}", line.words)
+            writeln!(writer, "{}", line.message)
         }
     }
 }
 
 /// The log in a form, written to a place.
-fn dispatch<W>(format: Format, to: W) -> tracing::Dispatch
+fn dispatch<W>(format: Format, output: W) -> tracing::Dispatch
 where
     W: for<'a> tracing_subscriber::fmt::MakeWriter<'a> + Send + Sync + 'static,
 {
-    let layer = tracing_subscriber::fmt().with_writer(to).with_ansi(false).log_internal_errors(false);
+    let layer = tracing_subscriber::fmt().with_writer(output).with_ansi(false).log_internal_errors(false);
     match format {
-        Format::Text => layer.event_format(Text).finish().into(),
+        Format::Text => layer.event_format(TextFormat).finish().into(),
         Format::Json => {
             layer.json().flatten_event(true).with_target(false).with_current_span(false).finish().into()
         }
@@ -99,10 +99,10 @@
 /// A place in memory, for tests of what lines look like.
 #[cfg(test)]
 #[derive(Clone, Default)]
-pub(crate) struct Sink(std::sync::Arc<std::sync::Mutex<Vec<u8>>>);
+pub(crate) struct MemoryLog(std::sync::Arc<std::sync::Mutex<Vec<u8>>>);
 
 #[cfg(test)]
-impl Sink {
+impl MemoryLog {
     /// What was written.
     pub(crate) fn text(&self) -> String {
         let bytes = self.0.lock().map(|bytes| bytes.clone()).unwrap_or_default();
@@ -111,7 +111,7 @@
 }
 
 #[cfg(test)]
-impl io::Write for Sink {
+impl io::Write for MemoryLog {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if let Ok(mut all) = self.0.lock() {
             all.extend_from_slice(bytes);
@@ -126,6 +126,6 @@
 
 /// Does something with the log going to a place in memory.
 #[cfg(test)]
-pub(crate) fn to(format: Format, sink: Sink, act: impl FnOnce()) {
+pub(crate) fn with_output_to(format: Format, sink: MemoryLog, act: impl FnOnce()) {
     tracing::dispatcher::with_default(&dispatch(format, move || sink.clone()), act);
 }
--- a/src/trace/tests.rs
+++ b/src/trace/tests.rs
@@ -6,8 +6,8 @@
 
 /// The line that the log writes for an event, in either form.
 fn written(format: log::Format, event: &Event) -> String {
-    let sink = log::Sink::default();
-    log::to(format, sink.clone(), || event.write(1_700_000_000_123_456));
+    let sink = log::MemoryLog::default();
+    log::with_output_to(format, sink.clone(), || event.write(1_700_000_000_123_456));
     sink.text()
 }
 
