--- a/src/faults.rs
+++ b/src/faults.rs
@@ -15,7 +15,7 @@
         FOLDER.get_or_init(|| std::env::var_os("AMBERSPINDLE_FAULTS").map(PathBuf::from)).as_ref()
     }
 
-    fn text(name: &str) -> Option<String> {
+    fn read_fault(name: &str) -> Option<String> {
         std::fs::read_to_string(folder()?.join(name)).ok()
     }
 
@@ -26,21 +26,21 @@
 
     /// The figure that a fault's file holds.
     pub fn injected_value(name: &str) -> Option<f64> {
-        text(name)?.trim().parse().ok()
+        read_fault(name)?.trim().parse().ok()
     }
 
     /// Stops this process here, if the trial says so, until it is continued.
     pub fn stop_at(place: &str) {
-        if text("stop-at").is_some_and(|wanted| wanted.trim() == place)
+        if read_fault("stop-at").is_some_and(|wanted| wanted.trim() == place)
             && let Some(folder) = folder()
             && std::fs::remove_file(folder.join("stop-at")).is_ok()
         {
             let _ = std::fs::write(folder.join("stopped-at"), place);
             let _ = rustix::process::kill_process(rustix::process::getpid(), rustix::process::Signal::STOP);
             // The signal may reach another thread first: this one goes no further until the stop was seen.
-            let mut before = std::time::Instant::now();
-            while before.elapsed() < std::time::Duration::from_millis(200) {
-                before = std::time::Instant::now();
+            let mut last_wake = std::time::Instant::now();
+            while last_wake.elapsed() < std::time::Duration::from_millis(200) {
+                last_wake = std::time::Instant::now();
                 std::thread::sleep(std::time::Duration::from_millis(5));
             }
         }
