--- a/src/operate/console.rs
+++ b/src/operate/console.rs
@@ -1,40 +1,42 @@
-//! The second address: one line a connection, answered by a line that begins with `SUCCESS` or `FAILURE`.
+//! The operator console on the second listening address: each connection carries one call, a line of text, and gets
+//! an answer that begins with `SUCCESS` or `FAILURE`.
 
 use std::collections::BTreeSet;
 use std::fmt;
 
 use crate::api::Micros;
 
-/// The longest line that is read; calls are a word each.
+/// The maximum length of a call. Each call is a single word.
 const MAX_CALL_BYTES: usize = 256;
-/// A caller that has not completed its call after this is let go. Some take 4 s without completing one.
+/// The connection of a caller that has not completed its call within this time is closed. Some callers take 4 s
+/// and still complete none.
 pub const CALL_TIMEOUT: Micros = Micros(10_000_000);
 
-/// What staff call for.
+/// A call of the operator console.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process is ready to serve.
+    /// Asks whether this process is ready to serve.
     Check,
-    /// The figures.
+    /// Asks for the metrics.
     Vars,
-    /// Drain.
+    /// Starts a drain.
     DrainOn,
-    /// Back to work.
+    /// Ends a drain.
     DrainOff,
 }
 
-/// Why a call is not one.
+/// The reason why a connection yields no call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BadCall {
-    /// No such call.
+    /// There is no such call.
     Unknown,
-    /// The line is longer than any call.
+    /// The line exceeds the maximum length of a call.
     TooLong,
-    /// The connection ended inside the line.
+    /// The connection ended before the line did.
     Unfinished,
-    /// The time of a caller was over.
+    /// The call was not complete within [`CALL_TIMEOUT`].
     TooLate,
-    /// The caller made room for another.
+    /// The caller was dropped to make room for a new one.
     NoRoom,
 }
 
@@ -52,36 +54,36 @@
 
 impl std::error::Error for BadCall {}
 
-/// What a call is answered with.
+/// The answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It was done, or the answer is yes.
+    /// The call was carried out, or its answer is yes.
     Success(&'static str),
-    /// It was not done, or the answer is no.
+    /// The call was not carried out, or its answer is no.
     Failure(String),
-    /// Lines of figures.
+    /// The metrics, one a line.
     Metrics(String),
 }
 
 impl Answer {
-    /// The bytes to write.
+    /// Returns the text to write to the caller.
     pub fn encode(&self) -> String {
         match self {
-            Answer::Success(word) => format!("SUCCESS {word}\n"),
-            Answer::Failure(why) => format!("FAILURE {why}\n"),
+            Answer::Success(text) => format!("SUCCESS {text}\n"),
+            Answer::Failure(reason) => format!("FAILURE {reason}\n"),
             Answer::Metrics(lines) => format!("SUCCESS\n{lines}EOT\n"),
         }
     }
 }
 
-/// The reading side of one caller's connection.
+/// Reads the call from one caller's connection.
 #[derive(Debug, Default)]
 pub struct CallReader {
     buffer: Vec<u8>,
 }
 
 impl CallReader {
-    /// Takes bytes in; gives the call once its line is whole. What comes behind the line is not read.
+    /// Takes in bytes and returns the call once its line is complete. Bytes after the line are ignored.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<Result<Call, BadCall>> {
         let end = bytes.iter().position(|b| *b == b'\n');
         self.buffer.extend_from_slice(&bytes[..end.unwrap_or(bytes.len()).min(MAX_CALL_BYTES + 1)]);
@@ -99,12 +101,12 @@
     }
 }
 
-/// A caller, counted from the start of the program.
+/// The identifier of a caller: a counter that starts with the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallerId(pub u64);
 
-/// Who is connected and has not completed a call: never more than so many, also when hundreds connect and say
-/// nothing.
+/// The callers that are connected and have not completed a call. Their number is bounded, even when hundreds connect
+/// and send nothing.
 #[derive(Debug)]
 pub struct Callers {
     max_waiting: usize,
@@ -113,13 +115,13 @@
 }
 
 impl Callers {
-    /// Room for so many.
+    /// Creates a set with room for `max_waiting` callers, at least one.
     pub fn new(max_waiting: usize) -> Callers {
         Callers { max_waiting: max_waiting.max(1), next: 0, waiting: BTreeSet::new() }
     }
 
-    /// One more comes. Where there is no room the one that has waited longest without completing its call goes:
-    /// an honest caller writes its line at once, and what it wrote is read before the next one is let in.
+    /// Adds a caller and returns its identifier. If there is no room, removes and returns the caller that has waited
+    /// longest: a well-behaved caller writes its line at once, and that is read before the next caller is admitted.
     pub fn admit(&mut self) -> (CallerId, Option<CallerId>) {
         let oldest = (self.waiting.len() >= self.max_waiting).then(|| self.waiting.pop_first()).flatten();
         self.next += 1;
@@ -127,7 +129,7 @@
         (CallerId(self.next), oldest)
     }
 
-    /// One has completed its call, or has left.
+    /// Removes a caller that has completed its call or disconnected.
     pub fn remove(&mut self, id: CallerId) {
         self.waiting.remove(&id);
     }
@@ -143,7 +145,7 @@
     }
 
     #[test]
-    fn a_call_is_read_wherever_it_is_cut() {
+    fn reads_a_call_split_at_any_byte() {
         for (text, call) in [
             ("check\n", Call::Check),
             ("vars\r\n", Call::Vars),
@@ -158,7 +160,7 @@
     }
 
     #[test]
-    fn what_is_no_call_fails_and_a_half_line_waits() {
+    fn rejects_unknown_and_overlong_calls_and_waits_for_the_end_of_a_line() {
         assert_eq!(feed_pieces(&[b"drain\n"]), Some(Err(BadCall::Unknown)));
         assert_eq!(feed_pieces(&[b"\n"]), Some(Err(BadCall::Unknown)));
         assert_eq!(feed_pieces(&[b"\xff\x00check\n"]), Some(Err(BadCall::Unknown)));
@@ -167,15 +169,15 @@
         assert_eq!(feed_pieces(&[&[b'x'; 70_000]]), Some(Err(BadCall::TooLong)));
     }
 
-    /// Guards against callers that say nothing and keep others out.
+    /// Guards against silent callers that keep others out.
     #[test]
-    fn the_oldest_silent_caller_makes_room() {
+    fn evicts_the_longest_waiting_caller_when_full() {
         let mut callers = Callers::new(2);
-        let (a, none) = callers.admit();
+        let (a, evicted_by_a) = callers.admit();
         let (b, _) = callers.admit();
-        assert_eq!(none, None);
-        let (c, out) = callers.admit();
-        assert_eq!(out, Some(a));
+        assert_eq!(evicted_by_a, None);
+        let (c, evicted_by_c) = callers.admit();
+        assert_eq!(evicted_by_c, Some(a));
         callers.remove(b);
         assert_eq!(callers.admit().1, None);
         assert_eq!(callers.admit().1, Some(c));
@@ -183,7 +185,7 @@
     }
 
     #[test]
-    fn answers_begin_with_their_word_and_figures_end_with_eot() {
+    fn encodes_answers_with_their_status_and_ends_metrics_with_eot() {
         assert_eq!(Answer::Success("ready").encode(), "SUCCESS ready\n");
         assert_eq!(Answer::Failure("draining".into()).encode(), "FAILURE draining\n");
         assert_eq!(Answer::Metrics("a=1\n".into()).encode(), "SUCCESS\na=1\nEOT\n");
--- a/src/operate/figures.rs
+++ b/src/operate/figures.rs
@@ -1,85 +1,85 @@
-//! What is counted of requests, by class, from the start of the process.
+//! Metrics of the console's `vars` call: counters of requests by class since the start of the process, and gauges.
 //!
-//! By hand, and not with a metrics crate: all of it lives on one thread and is four numbers for each class; the crates
-//! bring atomics, label sets and an encoder of another form.
+//! The counters are plain integers rather than those of a metrics crate: they live on one thread and are four numbers
+//! for each class, while the crates add atomics, label sets and an encoder for another format.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write as _;
 
 use crate::api::SessionId;
 
-/// Requests that are remembered after their answer, for attempts that are written late.
+/// The number of answered requests that are kept to count attempts whose write completes after the answer.
 const MAX_RECENT_REQUESTS: usize = 256;
 
-/// How a request was answered.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The session was set up.
     Fulfilled,
-    /// Refused.
+    /// The request was refused.
     Throttled,
-    /// Failed.
+    /// The request failed.
     Faulted,
 }
 
-/// Counts of one class.
+/// The counters of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounts {
-    /// Requests served.
+    /// The number of requests whose session was set up.
     pub fulfilled: u64,
-    /// Requests refused.
+    /// The number of requests that were refused.
     pub throttled: u64,
-    /// Requests failed.
+    /// The number of requests that failed.
     pub faulted: u64,
-    /// Attempts written whole to servers.
+    /// The number of attempts that were completely written to a server.
     pub relayed: u64,
 }
 
-/// What is looked up at the moment of a reading.
+/// Values that are read at the moment of a `vars` call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Requests taken and not yet ended: those that wait for their answer, and sessions that play.
+    /// The number of requests that have not ended: those that wait for their answer, and sessions that play.
     pub open_requests: usize,
-    /// Of these, the ones that wait for their answer.
+    /// The number of open requests that wait for their answer.
     pub unanswered_requests: usize,
-    /// Of these, the sessions that play.
+    /// The number of open requests whose session plays.
     pub playing_sessions: usize,
-    /// Clients' connections.
+    /// The number of client connections.
     pub client_connections: usize,
-    /// Servers in the list.
+    /// The number of servers in the list.
     pub registry_entries: usize,
-    /// Servers in the list that are avoided now.
+    /// The number of servers in the list that currently get no requests.
     pub out_of_rotation: usize,
 }
 
-/// All counts.
+/// The counters of the process.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// By name: a class that goes and comes back goes on counting.
+    /// Counters by class name, so that a class that is removed and added again keeps its counts.
     classes: BTreeMap<String, ClassCounts>,
-    /// The class under which each unanswered request was taken.
+    /// The class under which each unanswered request was accepted.
     unanswered: BTreeMap<SessionId, String>,
-    /// The same of the last ones that were answered, the oldest first: a busy machine may write an attempt after its
-    /// request's time was over.
+    /// The classes of the requests answered last, oldest first: on a busy machine the write of an attempt may
+    /// complete after its request has failed at its deadline.
     recent: VecDeque<(SessionId, String)>,
     files_accepted: u64,
     files_invalid: u64,
 }
 
 impl Metrics {
-    /// Counts from 0 for these classes too, so that a class is told of before its first request.
+    /// Adds these classes with counters at 0, so that a class is reported before its first request.
     pub fn register_classes<'a>(&mut self, names: impl IntoIterator<Item = &'a String>) {
         for name in names {
             self.classes.entry(name.clone()).or_default();
         }
     }
 
-    /// A request was taken.
+    /// Records that a request was accepted.
     pub fn record_request(&mut self, id: SessionId, class: &str) {
         self.unanswered.insert(id, class.to_owned());
     }
 
-    /// It got its final answer.
+    /// Counts the final answer to a request. Later answers to the same request are ignored.
     pub fn record_answer(&mut self, id: SessionId, outcome: Outcome) {
         let Some(class) = self.unanswered.remove(&id) else { return };
         self.recent.push_back((id, class.clone()));
@@ -92,34 +92,34 @@
         }
     }
 
-    /// Its client gave it up: it is owed no answer.
+    /// Records that the client withdrew a request. The request counts under no outcome.
     pub fn record_withdrawal(&mut self, id: SessionId) {
         self.unanswered.remove(&id);
     }
 
-    /// An attempt of it was written whole.
+    /// Counts an attempt of a request that was completely written to a server.
     pub fn record_attempt(&mut self, id: SessionId) {
-        let recent = || self.recent.iter().rev().find(|(of, _)| *of == id).map(|(_, class)| class);
+        let recent = || self.recent.iter().rev().find(|(request, _)| *request == id).map(|(_, class)| class);
         if let Some(class) = self.unanswered.get(&id).or_else(recent) {
             self.classes.entry(class.clone()).or_default().relayed += 1;
         }
     }
 
-    /// A file of settings was taken, or turned down.
+    /// Counts a configuration file that was accepted or rejected.
     pub fn record_settings_file(&mut self, is_accepted: bool) {
         if is_accepted { self.files_accepted += 1 } else { self.files_invalid += 1 }
     }
 
-    /// What is remembered of requests.
+    /// Returns the number of requests that are tracked until their answer.
     pub fn tracked_entries(&self) -> usize {
         self.unanswered.len()
     }
 
-    /// The lines that staff read.
+    /// Renders the metrics as text, one `name=value` a line.
     pub fn render(&self, gauges: Gauges) -> String {
         let mut text = String::new();
         let mut line = |name: &str, n: u64| {
-            // Writing to a String cannot fail.
+            // Writing to a String can't fail.
             let _ = writeln!(text, "broker.{name}={n}");
         };
         for (class, counts) in &self.classes {
@@ -148,7 +148,7 @@
     use super::*;
 
     #[test]
-    fn each_request_counts_once_under_the_class_that_it_was_taken_under() {
+    fn counts_each_request_once_under_the_class_it_was_accepted_with() {
         let mut metrics = Metrics::default();
         metrics.register_classes(&["clip".to_owned(), "paid".to_owned()]);
         for n in 0..4 {
@@ -162,7 +162,7 @@
         metrics.record_attempt(SessionId(2));
         metrics.record_answer(SessionId(2), Outcome::Faulted);
         metrics.record_answer(SessionId(3), Outcome::Faulted);
-        // Seen on a busy machine: an attempt that was written after its request had failed counted as none.
+        // On a busy machine an attempt whose write completed after its request had failed was not counted.
         metrics.record_attempt(SessionId(3));
         metrics.record_settings_file(true);
         metrics.record_settings_file(false);
--- a/src/operate/mod.rs
+++ b/src/operate/mod.rs
@@ -1,5 +1,5 @@
-//! What staff do with a running broker: the calls of the second address, and the phases of its service. No socket,
-//! no clock.
+//! Operation of a running broker: the operator console, metrics, drains, reloads, the hand-over to another process
+//! and shutdown. The state machines here own no socket and read no clock; the driver passes in bytes and times.
 
 pub mod console;
 pub mod figures;
