--- a/src/operate/phase.rs
+++ b/src/operate/phase.rs
@@ -1,40 +1,43 @@
-//! The phases of a broker's service: whether tests pass, and which of its clients' connections it lets go.
+//! The service phases of a broker process: whether health checks pass, and which client connections it closes while
+//! it drains, hands over or shuts down.
 
 use crate::api::Micros;
 
-/// The front asks every 0.1 s and keeps sending new connections for 0.2 s after a no (the operators' page on
-/// operating days); before this is over a connection that is let go would only come again here.
+/// The load balancer checks health every 0.1 s and keeps sending new connections for 0.2 s after a failed check
+/// (the operators' page on operating days). A client whose connection was closed earlier would only be sent back
+/// to this process.
 const REROUTE_TIME: Micros = Micros(400_000);
-/// A connection that nothing is set up on is let go when it has been quiet for so long: clients ask again on open
-/// connections as a rule right behind an answer, and what crosses the end must be sent again.
+/// A connection without a session is closed after it has been idle for this long. Clients usually reuse an open
+/// connection right after an answer, and a request that crosses the close must be sent again.
 const MIN_IDLE: Micros = Micros(150_000);
-/// The same once another process serves: whoever comes again is served there at once, so that the sooner the better.
+/// The idle time once another process serves. It is shorter, as a client that reconnects is served there at once.
 const MIN_IDLE_AFTER_YIELD: Micros = Micros(20_000);
-/// A broker that drains takes requests on open connections for so long: 4 s after the call it may hold none that brought a
-/// request in the last 2 s (the same page), and clients need a moment to close too.
+/// The time for which a draining broker accepts requests on open connections. 4 s after the call it may hold no
+/// connection that carried a request in the last 2 s (the same page), and clients need a moment to close their side.
 const DRAIN_ACCEPT_TIME: Micros = Micros(1_800_000);
-/// A connection that never said anything has so long: its first request may be under way.
+/// A connection that has carried no request is closed only after this time, as its first request may be on its way.
 const FIRST_REQUEST_TIMEOUT: Micros = Micros(1_000_000);
-/// A process that has no list says no for so long at most: nine in ten are to be ready within 10 s of their start.
+/// The longest time for which a process without a server list reports that it is not ready. Nine in ten processes
+/// must be ready within 10 s of their start.
 const SERVER_LIST_TIMEOUT: Micros = Micros(8_000_000);
 
-/// Why a broker answers tests with no.
+/// The reason why a broker is not ready to serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unready {
-    /// It drains.
+    /// The broker drains.
     Draining,
-    /// It ends.
+    /// The process shuts down.
     Ending,
-    /// It starts, and another process still serves.
+    /// The process starts while its predecessor still serves.
     Starting,
-    /// Another process serves in its place.
+    /// Another process serves in place of this one.
     Yielded,
-    /// No list of servers has come yet.
+    /// No server list has arrived yet.
     NoServerList,
 }
 
 impl Unready {
-    /// One word for staff.
+    /// Returns the reason as the console prints it.
     pub fn text(self) -> &'static str {
         match self {
             Unready::Draining => "draining",
@@ -46,8 +49,8 @@
     }
 }
 
-/// Which phase a broker is in. Draining and ending are told apart, as a drain can be taken back: an end in the
-/// middle of a drain stays an end when the drain is over.
+/// The service phase of a broker process. Draining and shutdown are separate, as a drain can be revoked: a
+/// shutdown that begins during a drain goes on when the drain ends.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Phase {
     draining_since: Option<Micros>,
@@ -55,50 +58,52 @@
     is_refusing: bool,
     is_starting: bool,
     has_yielded: bool,
-    /// No list has come, and until then one is waited for.
+    /// The time until which the process waits for its first server list; `None` if it does not wait for one.
     server_list_deadline: Option<Micros>,
 }
 
 impl Phase {
-    /// Staff drain the broker; false if it drained already.
+    /// Starts a drain. Returns false if the broker drains already.
     pub fn drain(&mut self, now: Micros) -> bool {
         let new = self.draining_since.is_none();
         self.draining_since.get_or_insert(now);
         new
     }
 
-    /// Staff take the drain back; false if there was none.
+    /// Ends the drain. Returns false if there is none.
     pub fn undrain(&mut self) -> bool {
         self.draining_since.take().is_some()
     }
 
-    /// The process was told to end.
+    /// Starts the shutdown of the process.
     pub fn begin_shutdown(&mut self) {
         self.is_ending = true;
     }
 
-    /// All that was taken is answered: what still comes is turned away at once, until no connection is left.
+    /// Refuses all further requests until no connection is left. Called during shutdown, once the accepted
+    /// requests have their answers.
     pub fn start_refusing(&mut self) {
         self.is_refusing = true;
     }
 
-    /// Whether the process turns away what comes, as it ends.
+    /// Whether the process refuses all requests because it shuts down.
     pub fn is_refusing(&self) -> bool {
         self.is_refusing
     }
 
-    /// Whether a request that comes now is turned away: the process ends, or it has drained for long enough.
+    /// Whether a request that arrives now is refused: in shutdown, or after `DRAIN_ACCEPT_TIME` of a drain.
     pub fn rejects_requests(&self, now: Micros) -> bool {
         self.is_refusing || self.draining_since.is_some_and(|at| now >= at + DRAIN_ACCEPT_TIME)
     }
 
-    /// A process without any list can serve nobody: it is not ready until one has come, or until its source has been
-    /// out of reach for so long that requests are better refused here than kept away from all processes.
+    /// Reports the process as not ready until its first server list arrives, as it can serve no request without
+    /// one. The wait is bounded: when the source stays unreachable, refusing requests here is better than having
+    /// no ready process.
     pub fn await_server_list(&mut self, now: Micros) {
         self.server_list_deadline = Some(now + SERVER_LIST_TIMEOUT);
     }
 
-    /// A list has come.
+    /// Ends the wait for a server list.
     pub fn server_list_received(&mut self) {
         self.server_list_deadline = None;
     }
@@ -107,39 +112,40 @@
         self.server_list_deadline.is_some_and(|until| now < until)
     }
 
-    /// It asks the process before it whether it may serve.
+    /// Reports the process as not ready until its predecessor has yielded.
     pub fn await_predecessor(&mut self) {
         self.is_starting = true;
     }
 
-    /// It may.
+    /// Ends the wait for the predecessor.
     pub fn start_serving(&mut self) {
         self.is_starting = false;
     }
 
-    /// Another process serves in its place from now on.
+    /// Records that another process serves in place of this one.
     pub fn yield_to_successor(&mut self) {
         self.has_yielded = true;
     }
 
-    /// That process is gone.
+    /// Records that this process serves again, because its successor is gone.
     pub fn resume_serving(&mut self) {
         self.has_yielded = false;
     }
 
-    /// Whether sessions are passed to another process.
+    /// Whether another process serves, so that sessions are handed over to it.
     pub fn has_yielded(&self) -> bool {
         self.has_yielded
     }
 
-    /// Whether tests of the broker pass here. Where another process serves in its place the broker as a whole goes on.
+    /// Whether health checks pass. During shutdown they go on passing if a successor serves, as the broker as a whole
+    /// does.
     pub fn passes_health_check(&self, now: Micros) -> bool {
         self.draining_since.is_none()
             && (!self.is_ending || self.has_yielded)
             && !self.awaits_server_list(now)
     }
 
-    /// Why it is not ready to serve, if it is not.
+    /// Returns the reason why the process is not ready to serve, if there is one.
     pub fn unready_reason(&self, now: Micros) -> Option<Unready> {
         let reasons = [
             (self.is_ending, Unready::Ending),
@@ -151,16 +157,16 @@
         reasons.into_iter().find_map(|(holds, why)| holds.then_some(why))
     }
 
-    /// From when on clients' connections are let go, if they are.
+    /// Returns the time from which client connections are closed, if they are to be closed.
     pub fn closes_connections_from(&self) -> Option<Micros> {
         if self.has_yielded { Some(Micros(0)) } else { self.draining_since.map(|at| at + REROUTE_TIME) }
     }
 
-    /// Whether a connection that nothing is set up on is let go: one that was last used then (accepted, asked, or
-    /// answered), and whether it ever said anything.
+    /// Whether a connection without a session is to be closed. `last_used` is when it was accepted or last carried a
+    /// request or an answer; `has_sent` is whether the client has ever sent anything.
     pub fn closes_connection(&self, now: Micros, last_used: Micros, has_sent: bool) -> bool {
         let min_idle = match (has_sent, self.has_yielded) {
-            // Nothing is taken any more: clients that ask without a pause are let go too.
+            // No request is accepted any more, so connections of clients that send without a pause are closed too.
             _ if self.rejects_requests(now) => Micros(0),
             (false, _) => FIRST_REQUEST_TIMEOUT,
             (true, true) => MIN_IDLE_AFTER_YIELD,
--- a/src/operate/phase/tests.rs
+++ b/src/operate/phase/tests.rs
@@ -3,7 +3,7 @@
 const SECOND: u64 = 1_000_000;
 
 #[test]
-fn a_drain_says_no_at_once_and_lets_connections_go_once_the_front_sends_none() {
+fn drain_fails_health_checks_at_once_and_closes_connections_after_the_reroute_time() {
     let mut phase = Phase::default();
     assert!(
         phase.unready_reason(Micros(10 * SECOND)).is_none()
@@ -14,16 +14,16 @@
     let closes = |now: u64, last_used: u64, has_sent| {
         phase.closes_connection(Micros(now), Micros(last_used), has_sent)
     };
-    assert!(!closes(10 * SECOND + 399_000, 0, true), "the front may still send");
+    assert!(!closes(10 * SECOND + 399_000, 0, true), "the load balancer may still send new connections");
     assert!(
         closes(10 * SECOND + 400_000, 0, true) && !closes(10 * SECOND + 400_000, 10 * SECOND + 300_000, true)
     );
     assert!(!closes(10 * SECOND + 400_000, 10 * SECOND, false) && closes(11 * SECOND, 10 * SECOND, false));
 }
 
-/// Guards against a drain's end that takes back an end of the process, and against quick turns.
+/// Guards against the end of a drain that revokes a shutdown, and against drains in quick succession.
 #[test]
-fn the_end_of_a_drain_takes_back_the_drain_and_nothing_else() {
+fn ending_a_drain_does_not_revoke_a_shutdown() {
     let mut phase = Phase::default();
     for n in 0..100 {
         assert!(phase.drain(Micros(n)) && phase.undrain() && !phase.undrain());
@@ -37,9 +37,9 @@
     assert_eq!(phase.unready_reason(Micros(10 * SECOND)), Some(Unready::Ending));
 }
 
-/// Guards against a process that says it is ready though it knows no server, and against one that never says so.
+/// Guards against a process that reports ready although it knows no server, and against one that never does.
 #[test]
-fn a_process_without_a_list_is_not_ready_until_one_comes_or_for_eight_seconds() {
+fn not_ready_until_a_server_list_arrives_or_eight_seconds_have_passed() {
     let mut phase = Phase::default();
     phase.await_server_list(Micros(SECOND));
     assert!(
--- a/src/operate/planned_end.rs
+++ b/src/operate/planned_end.rs
@@ -1,70 +1,72 @@
-//! The plan of a process that was told to end: by when it has answered what it took, let its connections go and ended by
-//! itself, so that the SIGKILL that may follow SIGTERM finds nothing. All times follow from the settings and from the
-//! operators' pages; nothing here waits for work to be done.
+//! The schedule of a graceful shutdown: by when the process has answered its requests, closed its connections and
+//! exited by itself, before the SIGKILL that may follow SIGTERM. All times follow from the settings and from the
+//! operators' pages, so that remaining work never delays the exit.
 
 use crate::api::Micros;
 use crate::mutant::{self, Mutant};
 
-/// Connections and requests keep coming for so long after SIGTERM (protocol page, planned restarts).
+/// The time after SIGTERM for which connections and requests keep arriving (protocol page, planned restarts).
 const ARRIVALS_AFTER_SIGTERM: Micros = Micros(700_000);
-/// SIGKILL comes no sooner than this and the longest deadline after SIGTERM (the same page).
+/// SIGKILL follows SIGTERM no sooner than after the longest deadline plus this margin (the same page).
 const KILL_MARGIN: Micros = Micros(700_000);
-/// The longest deadline counts as so much at most (the same page).
+/// The longest deadline counts as at most this much (the same page).
 const MAX_COUNTED_DEADLINE: Micros = Micros(3_000_000);
-/// The same where another process serves in this one's place (operators' page on operating days).
+/// The same limit where another process serves in place of this one (operators' page on operating days).
 const MAX_COUNTED_DEADLINE_WITH_SUCCESSOR: Micros = Micros(5_000_000);
-/// A broker without the platform's front is killed by whatever manages processes there, by custom after so long.
+/// A broker that does not listen for the platform is killed by its process manager, usually after this time.
 const PROCESS_MANAGER_GRACE: Micros = Micros(30_000_000);
-/// Kept free before the earliest SIGKILL for a process that runs late: twice the pages' slack on sockets.
+/// The margin before the earliest SIGKILL for a process that runs late: twice the slack on sockets that the pages
+/// allow.
 const EXIT_MARGIN: Micros = Micros(100_000);
-/// Peers have so long to hear the last words and to close their connections too.
+/// The time for peers to receive the final messages and close their side of the connections.
 const FINAL_MESSAGES_TIME: Micros = Micros(300_000);
-/// Last words that were queued in one turn are written in the next ones.
+/// The minimum time between queuing the final messages and the exit, as they are written in later turns of the event
+/// loop.
 const MIN_FLUSH_TIME: Micros = Micros(50_000);
 
-/// By whose rules a process that was told to end is killed.
+/// Whose rules decide when a process in shutdown is killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KillPolicy {
-    /// The platform's; another process serves in this one's place already, or not.
+    /// The platform's rules.
     Platform {
-        /// See there.
+        /// Another process already serves in place of this one.
         successor_serves: bool,
     },
-    /// A process manager's: the broker serves no clients of the platform.
+    /// The rules of a process manager: the broker serves no clients of the platform.
     ProcessManager,
 }
 
-/// What is still there, at one moment.
+/// The work that remains at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RemainingWork {
-    /// Requests that are owed an answer.
+    /// The number of requests without an answer.
     pub unanswered: usize,
-    /// Sessions that play and are held here.
+    /// The number of playing sessions that this process holds.
     pub playing: usize,
-    /// Clients' connections.
+    /// The number of client connections.
     pub connections: usize,
-    /// Ends of sessions that media servers have not heard yet.
+    /// The number of session ends that media servers have not received yet.
     pub unheard_ends: usize,
-    /// Connections that the machine accepted in time still wait to be taken.
+    /// Connections that the system accepted in time still wait in the accept queue.
     pub has_queued_connections: bool,
-    /// Another process serves in this one's place.
+    /// Another process serves in place of this one.
     pub successor_serves: bool,
 }
 
-/// What is to be done next.
+/// A step of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Accept what waits, then nothing more.
+    /// Accept the connections that wait in the accept queue, then no more.
     LastCall,
-    /// Refuse what still comes, and let each connection go on which no answer is owed.
+    /// Refuse further requests and close each connection on which no answer is due.
     CloseDoors,
-    /// Answer what is left, and release what plays on both sides.
+    /// Answer the remaining requests, and release the playing sessions towards both client and server.
     Release,
-    /// End the process.
+    /// Exit the process.
     Exit,
 }
 
-/// How far the plan has come.
+/// The stage that the shutdown has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Accepting,
@@ -74,7 +76,7 @@
     Done,
 }
 
-/// The plan of one process.
+/// The shutdown schedule of one process.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownPlan {
     signalled_at: Micros,
@@ -84,7 +86,7 @@
 }
 
 impl ShutdownPlan {
-    /// A process was told to end. The longest deadline is that of the settings in force.
+    /// Starts the schedule of a process that got SIGTERM now. `longest_deadline` is that of the settings in force.
     pub fn new(now: Micros, longest_deadline: Micros, kill_policy: KillPolicy) -> ShutdownPlan {
         let mut plan =
             ShutdownPlan { signalled_at: now, kill_policy, kill_at: Micros::MAX, stage: Stage::Accepting };
@@ -92,7 +94,7 @@
         plan
     }
 
-    /// Settings are in force with this longest deadline: the time left never grows by them.
+    /// Applies the longest deadline of new settings. It can bring the earliest SIGKILL forward but never defer it.
     pub fn shorten(&mut self, longest_deadline: Micros) {
         if mutant::is_active(Mutant::LateDoors) {
             return;
@@ -109,22 +111,22 @@
         self.kill_at = self.kill_at.min(self.signalled_at + kill_after);
     }
 
-    /// The earliest SIGKILL.
+    /// Returns the time of the earliest SIGKILL.
     pub fn kill_at(&self) -> Micros {
         self.kill_at
     }
 
-    /// By then each request has its answer.
+    /// Returns the time by which each request has its answer.
     pub fn answer_by(&self) -> Micros {
         self.exit_by() - FINAL_MESSAGES_TIME
     }
 
-    /// By then the process has ended.
+    /// Returns the time by which the process has exited.
     pub fn exit_by(&self) -> Micros {
         self.kill_at - EXIT_MARGIN
     }
 
-    /// What is to be done now, if anything; to be asked until it gives none.
+    /// Returns the step that is due now, if there is one. To be called until it returns `None`.
     pub fn next_step(&mut self, now: Micros, remaining: RemainingWork) -> Option<Step> {
         let is_late = now >= self.answer_by();
         let has_no_work = remaining.unanswered == 0
--- a/src/operate/planned_end/tests.rs
+++ b/src/operate/planned_end/tests.rs
@@ -11,7 +11,8 @@
     RemainingWork { unanswered: 3, playing: 2, connections: 4, ..RemainingWork::default() }
 }
 
-/// Each step that the plan takes while the same is left all the time, in milliseconds from the start.
+/// Returns the steps of the plan and their times in milliseconds from the start, while the remaining work stays
+/// the same.
 fn steps(mut plan: ShutdownPlan, remaining: RemainingWork) -> Vec<(u64, Step)> {
     let mut taken = Vec::new();
     for ms in 0..20_000 {
@@ -22,9 +23,9 @@
     taken
 }
 
-/// Guards against an end that is bounded by the process's own work (report c7ba89).
+/// Guards against a shutdown whose duration depends on the process's own work (report c7ba89).
 #[test]
-fn steady_requests_and_sessions_keep_no_process_past_its_earliest_kill() {
+fn exits_before_the_earliest_kill_despite_steady_requests_and_sessions() {
     for (longest_deadline_ms, successor_serves, kill_ms) in [
         (600, false, 1_300),
         (1_200, false, 1_900),
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn a_process_with_nothing_left_ends_behind_the_last_call() {
+fn exits_after_the_last_call_when_no_work_remains() {
     let taken = steps(
         ShutdownPlan::new(START, Micros(3_000 * MICROS_PER_MS), platform_kills(false)),
         RemainingWork::default(),
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn an_heir_keeps_the_doors_open_until_it_has_all_or_time_is_up() {
+fn refuses_requests_only_at_the_deadline_while_a_successor_serves() {
     let remaining = RemainingWork { successor_serves: true, ..RemainingWork::default() };
     let taken =
         steps(ShutdownPlan::new(START, Micros(1_000 * MICROS_PER_MS), platform_kills(true)), remaining);
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn new_settings_shorten_the_time_and_never_lengthen_it() {
+fn new_settings_bring_the_kill_forward_and_never_defer_it() {
     let mut plan = ShutdownPlan::new(START, Micros(2_000 * MICROS_PER_MS), platform_kills(false));
     plan.shorten(Micros(9_000 * MICROS_PER_MS));
     assert_eq!(plan.kill_at(), START + Micros(2_700 * MICROS_PER_MS));
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn without_the_platform_sessions_play_on_for_as_long_as_process_managers_wait() {
+fn uses_the_grace_time_of_process_managers_without_the_platform() {
     let mut plan = ShutdownPlan::new(START, Micros(2_000 * MICROS_PER_MS), KillPolicy::ProcessManager);
     plan.shorten(Micros(500 * MICROS_PER_MS));
     assert_eq!(plan.kill_at(), START + Micros(30_000 * MICROS_PER_MS));
