--- a/src/operate/handover/giver.rs
+++ b/src/operate/handover/giver.rs
@@ -1,44 +1,45 @@
-//! The old process: when it yields, serves again, and leaves.
+//! The predecessor's side of a hand-over: when the old process yields, resumes service and exits.
 
 use super::{Message, VERSION};
 
-/// A connection of a process that asks to take over, counted from the start of this one.
+/// The connection of a process that asks to take over: a counter that starts with this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TakeoverConn(pub u64);
 
-/// What is to be done.
+/// An action for the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Yield: accept nothing, take no turn at cold servers, pass what stands; only then answer.
+    /// Stop accepting connections, take no further warm-up turns at cold servers and hand over the established
+    /// sessions, all before the answer is sent.
     Yield,
-    /// Find out whether another process is at the meeting point.
+    /// Check whether another process listens on the hand-over socket.
     ProbeSocket,
-    /// Serve again as before: the new process is gone.
+    /// Serve again as before, because the successor is gone.
     Resume,
-    /// Say something to a suitor.
+    /// Send a message on the connection of a process that asks to take over.
     Send(TakeoverConn, Message),
-    /// A client left a session, as the new process heard.
+    /// End this session: its client left it, as the successor reported.
     ClientLeft(u64),
-    /// Nothing is held here any more, and the new process has taken in all: end.
+    /// Exit: nothing is left here, and the successor has received everything.
     Exit,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum State {
-    /// It serves, and nobody has asked.
+    /// This process serves, and none has asked to take over.
     #[default]
     Serving,
-    /// It gave way to this one.
+    /// The process on this connection serves.
     Yielded(TakeoverConn),
-    /// It has asked to leave.
+    /// This process has asked its successor for permission to exit.
     Leaving(TakeoverConn),
-    /// Its heir is gone. A further process may serve in that one's place.
+    /// The successor is gone. A third process may serve in its place.
     Orphaned,
-    /// It may end.
+    /// This process may exit.
     Exiting,
 }
 
-/// The old process' side.
+/// The state machine of the process that hands over.
 #[derive(Debug, Default)]
 pub struct Predecessor {
     state: State,
@@ -46,12 +47,12 @@
 }
 
 impl Predecessor {
-    /// Of a process that started then, by the machine's clock that is never set.
+    /// Creates the state of a process that started at this time of the boot clock, in microseconds.
     pub fn new(started: u64) -> Predecessor {
         Predecessor { state: State::Serving, started }
     }
 
-    /// Whom it gave way to.
+    /// Returns the connection of the process that this one has yielded to, while that is open.
     pub fn successor(&self) -> Option<TakeoverConn> {
         match self.state {
             State::Yielded(successor) | State::Leaving(successor) => Some(successor),
@@ -59,15 +60,16 @@
         }
     }
 
-    /// Whether another process serves in this one's place.
+    /// Whether another process serves in place of this one.
     pub fn has_yielded(&self) -> bool {
         self.state != State::Serving
     }
 
-    /// A process that asks has said something.
+    /// Handles a message of a process that asks to take over.
     pub fn handle_message(&mut self, from: TakeoverConn, message: &Message, out: &mut Vec<Action>) {
         match (message, self.state) {
-            // Versions that start within milliseconds may ask in any order: the last to start is to serve.
+            // Processes that start within milliseconds of each other may ask in any order. The last to start is to
+            // serve.
             (Message::TakeOver { started, .. }, State::Serving) if *started <= self.started => {
                 out.push(Action::Send(from, Message::Newer));
             }
@@ -76,7 +78,7 @@
                 out.push(Action::Yield);
                 out.push(Action::Send(from, Message::Yielded));
             }
-            // It waits for this process' end rather than acting on half an understanding.
+            // A process of another protocol version must wait for this one to exit, as it may misread its messages.
             (Message::TakeOver { .. }, State::Serving) => out.push(Action::Send(from, Message::Other)),
             (Message::TakeOver { .. }, _) if self.successor() != Some(from) => {
                 out.push(Action::Send(from, Message::Busy));
@@ -90,8 +92,9 @@
         }
     }
 
-    /// Its connection has ended. If it was the heir, this process serves again, unless a further one took that one's
-    /// place: two would take turns at cold servers as if each were alone.
+    /// Handles the end of a connection. If it was the successor's, this process serves again, unless a third
+    /// process has taken that place: two serving processes would each take warm-up turns at cold servers as if
+    /// they were alone.
     pub fn connection_ended(&mut self, conn: TakeoverConn, out: &mut Vec<Action>) {
         if self.successor() == Some(conn) {
             self.state = State::Orphaned;
@@ -99,8 +102,8 @@
         }
     }
 
-    /// Whether anybody is at the meeting point. What was passed is not taken back: those sessions play on, and their
-    /// clients name them again.
+    /// Handles the result of [`Action::ProbeSocket`]. Sessions that were handed over are not taken back: they play
+    /// on, and their clients name them again.
     pub fn socket_probed(&mut self, is_listening: bool, out: &mut Vec<Action>) {
         if self.state == State::Orphaned && !is_listening {
             self.state = State::Serving;
@@ -108,7 +111,7 @@
         }
     }
 
-    /// Whether anybody still waits here, or says so only here.
+    /// Handles whether this process still has work: clients that wait here, or messages that arrive only here.
     pub fn update_pending_work(&mut self, has_work: bool, out: &mut Vec<Action>) {
         match self.state {
             State::Yielded(successor) if !has_work => {
@@ -139,14 +142,18 @@
     }
 
     #[test]
-    fn it_yields_once_and_leaves_only_when_the_heir_has_taken_all_in() {
+    fn yields_once_and_exits_only_after_the_successor_permits_it() {
         let mut predecessor = Predecessor::default();
         assert_eq!(
             handle(&mut predecessor, A, TAKE_OVER),
             [Action::Yield, Action::Send(A, Message::Yielded)]
         );
         assert_eq!(handle(&mut predecessor, B, TAKE_OVER), [Action::Send(B, Message::Busy)]);
-        assert_eq!(handle(&mut predecessor, A, Message::Leave), [], "it was not asked for");
+        assert_eq!(
+            handle(&mut predecessor, A, Message::Leave),
+            [],
+            "a Leave that was not asked for is ignored"
+        );
         let mut out = Vec::new();
         predecessor.update_pending_work(true, &mut out);
         assert_eq!(out, []);
@@ -156,15 +163,15 @@
         assert_eq!(handle(&mut predecessor, B, Message::Leave), []);
         assert!(predecessor.has_yielded());
         assert_eq!(handle(&mut predecessor, A, Message::Leave), [Action::Exit]);
-        // It ends now, and neither serves again nor cuts what was passed.
+        // The process exits now: it neither serves again nor ends the sessions that it has handed over.
         let mut out = Vec::new();
         predecessor.connection_ended(A, &mut out);
         assert!(out.is_empty() && predecessor.has_yielded());
     }
 
-    /// Guards against a broker that nobody serves when the new process dies at any point before the old one left.
+    /// Guards against a broker without a serving process when the successor dies before the predecessor has exited.
     #[test]
-    fn it_serves_again_when_the_heir_dies_and_yields_to_the_next() {
+    fn resumes_when_the_successor_dies_and_yields_to_the_next_one() {
         for leaving in [false, true] {
             let mut predecessor = Predecessor::default();
             handle(&mut predecessor, A, TAKE_OVER);
@@ -174,7 +181,7 @@
                 out.clear();
             }
             predecessor.connection_ended(B, &mut out);
-            assert_eq!(out, [], "that was another");
+            assert_eq!(out, [], "the connection was not the successor's");
             predecessor.connection_ended(A, &mut out);
             predecessor.socket_probed(false, &mut out);
             assert_eq!(out, [Action::ProbeSocket, Action::Resume]);
@@ -186,10 +193,10 @@
         }
     }
 
-    /// Seen with three versions within milliseconds: the third took over before the second, which then took over from
-    /// it.
+    /// Guards against a take-over by an older process. When three versions started within milliseconds, the third
+    /// took over before the second, which then took over from the third.
     #[test]
-    fn it_yields_to_none_that_started_before_it() {
+    fn does_not_yield_to_a_process_that_started_earlier() {
         let mut predecessor = Predecessor::new(9);
         assert_eq!(handle(&mut predecessor, A, TAKE_OVER), [Action::Send(A, Message::Newer)]);
         assert!(!predecessor.has_yielded());
@@ -197,10 +204,10 @@
         assert_eq!(handle(&mut predecessor, B, later), [Action::Yield, Action::Send(B, Message::Yielded)]);
     }
 
-    /// Seen with three versions within a second: the second left before the first, which then served again beside
-    /// the third.
+    /// Guards against two serving processes. When three versions started within a second, the second exited before
+    /// the first, which then served again beside the third.
     #[test]
-    fn it_does_not_serve_again_beside_a_further_process() {
+    fn does_not_resume_while_a_third_process_listens() {
         let mut predecessor = Predecessor::default();
         handle(&mut predecessor, A, TAKE_OVER);
         let mut out = Vec::new();
@@ -214,7 +221,7 @@
     }
 
     #[test]
-    fn another_version_is_told_so_and_changes_nothing() {
+    fn rejects_another_protocol_version_without_yielding() {
         let mut predecessor = Predecessor::default();
         let other = Message::TakeOver { version: VERSION + 1, started: 9 };
         assert_eq!(handle(&mut predecessor, A, other), [Action::Send(A, Message::Other)]);
--- a/src/operate/handover/heir.rs
+++ b/src/operate/handover/heir.rs
@@ -1,64 +1,66 @@
-//! The new process: when it serves, and which turns at cold servers are its own.
+//! The successor's side of a hand-over: when the new process starts to serve, and from when it takes warm-up turns at
+//! cold servers.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use super::{Message, SessionTransfer, VERSION};
 use crate::api::Micros;
 
-/// An old process that says nothing for so long is not waited for: the new one serves beside it. Progress alone
-/// rests on this.
+/// If the predecessor has not answered within this time, the new process serves beside it. This only ensures that the
+/// new process makes progress; no other guarantee depends on it.
 pub const PREDECESSOR_TIMEOUT: Micros = Micros(2_000_000);
-/// The end of a session that was heard before the session was passed is remembered for so long.
+/// The time for which the end of a session that was not handed over yet is remembered.
 const EARLY_END_TTL: Micros = Micros(30_000_000);
 
-/// What is to be done.
+/// An action for the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Accept, and say yes.
+    /// Accept connections and report ready.
     Serve,
-    /// Take the place where the next process asks.
+    /// Listen on the hand-over socket, where the next process asks.
     Listen,
-    /// Take turns at cold servers that begin from now on.
+    /// Take the warm-up turns at cold servers that begin from now on.
     TakeWarmUpTurns,
-    /// A newer version serves already, and nothing was accepted here: end.
+    /// Exit: a newer process serves already, and this one has accepted nothing.
     Exit,
-    /// Leave this connection, and ask again at the meeting point: the old process gives way to another, which will be
-    /// there.
+    /// Close the connection and connect to the hand-over socket again: the predecessor yields to another process,
+    /// which will listen there.
     Reconnect,
-    /// Hold this session.
+    /// Adopt this session.
     AdoptSession(SessionTransfer),
-    /// Hold this session, and end it: its client left before it was passed.
+    /// Adopt this session and end it, as its client left before it was handed over.
     AdoptEndedSession(SessionTransfer),
-    /// A server or a client said this of a session.
+    /// Handle what a server or a client reported about a session to the predecessor.
     HandleForwarded(Message),
-    /// Say something to the old process.
+    /// Send a message to the predecessor.
     Send(Message),
 }
 
-/// The new process' side.
+/// The state machine of the process that takes over.
 #[derive(Debug)]
 pub struct Successor {
-    /// When this process started, by the machine's clock that is never set.
+    /// When this process started, in microseconds of the boot clock.
     started: u64,
-    /// The old process is asked until then.
+    /// The time until which an answer of the predecessor is awaited.
     deadline: Micros,
     is_serving: bool,
     is_listening: bool,
     takes_warm_up_turns: bool,
-    /// The connection to the old process stands.
+    /// The connection to the predecessor is open.
     is_connected: bool,
-    /// One old process was about to give way to another.
+    /// A predecessor answered that it yields to another process.
     is_reconnecting: bool,
-    /// Sessions that clients left and that were not passed yet.
+    /// The sessions that clients left before they were handed over, and until when each is remembered.
     early_ends: BTreeMap<u64, Micros>,
-    /// The same in the order in which they are forgotten.
+    /// The same sessions in the order of expiry.
     early_ends_order: VecDeque<(Micros, u64)>,
-    /// No more of them are remembered.
+    /// The maximum length of `early_ends_order`.
     max_early_ends: usize,
 }
 
 impl Successor {
-    /// One that has not asked yet, of a process that started then and holds so many sessions at most.
+    /// Creates the state of a process that started at `started`, in microseconds of the boot clock, and that holds at
+    /// most `max_early_ends` sessions.
     pub fn new(now: Micros, started: u64, max_early_ends: usize) -> Successor {
         Successor {
             started,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// When [`Successor::tick`] is wanted.
+    /// Returns when [`Successor::tick`] is due.
     pub fn deadline(&self) -> Micros {
         self.deadline
     }
@@ -91,8 +93,8 @@
         }
     }
 
-    /// All is this process' from now on. The turns first: what is accepted next may want one; and who sees it serve
-    /// finds it at the meeting point.
+    /// Takes over the whole service. Warm-up turns come first, as the next request may need one; service comes
+    /// last, so that whoever sees this process serve can reach it on the hand-over socket.
     fn take_over(&mut self, out: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.takes_warm_up_turns, true) {
             out.push(Action::TakeWarmUpTurns);
@@ -101,19 +103,19 @@
         self.serve(out);
     }
 
-    /// A connection to a process at the meeting point stands.
+    /// Handles a connection that was established to the process on the hand-over socket.
     pub fn connected(&mut self, out: &mut Vec<Action>) {
         self.is_connected = true;
         out.push(Action::Send(Message::TakeOver { version: VERSION, started: self.started }));
     }
 
-    /// Nobody is at the meeting point.
+    /// Handles that no process listens on the hand-over socket.
     pub fn no_predecessor(&mut self, out: &mut Vec<Action>) {
         self.is_connected = false;
         self.take_over(out);
     }
 
-    /// The old process said something.
+    /// Handles a message of the predecessor.
     pub fn handle_message(&mut self, message: Message, out: &mut Vec<Action>) {
         match message {
             Message::Yielded => self.take_over(out),
@@ -122,7 +124,7 @@
                 out.push(Action::Reconnect);
             }
             Message::Newer if !self.is_serving => out.push(Action::Exit),
-            // Its turns stay its own until it has ended.
+            // The other process keeps its warm-up turns until it has exited.
             Message::Newer => {}
             Message::Other => {
                 self.serve(out);
@@ -140,14 +142,14 @@
         }
     }
 
-    /// The connection to the old process has ended, as the system ends it when that process does. Another may have
-    /// come to the meeting point meanwhile, unless this one is there.
+    /// Handles the end of the connection to the predecessor; the system closes it when that process exits. Unless
+    /// this process listens on the hand-over socket, another process may do so by now.
     pub fn connection_ended(&mut self, out: &mut Vec<Action>) {
         self.is_connected = false;
         if self.is_listening { self.take_over(out) } else { out.push(Action::Reconnect) }
     }
 
-    /// Forgets ends whose sessions were not passed in time.
+    /// Removes the ends whose sessions were not handed over in time.
     fn forget_early_ends(&mut self, now: Micros) {
         while let Some((until, id)) =
             self.early_ends_order.front().copied().filter(|(until, _)| *until <= now)
@@ -159,7 +161,7 @@
         }
     }
 
-    /// A client left a session that this process does not hold.
+    /// Handles that a client left a session that this process does not hold.
     pub fn client_left(&mut self, now: Micros, id: u64, out: &mut Vec<Action>) {
         if self.is_connected {
             self.forget_early_ends(now);
@@ -171,7 +173,8 @@
         }
     }
 
-    /// Time has passed. One that is told to ask again keeps asking, and stays away from the meeting point meanwhile.
+    /// Serves if the deadline has passed. A process that must connect again doesn't listen on the hand-over socket
+    /// meanwhile, as it would connect to itself.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Action>) {
         if now >= self.deadline {
             self.serve(out);
--- a/src/operate/handover/heir/tests.rs
+++ b/src/operate/handover/heir/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn alone_it_serves_at_once_and_else_when_the_old_one_has_yielded() {
+fn serves_at_once_without_a_predecessor_and_otherwise_after_it_has_yielded() {
     let mut out = Vec::new();
     Successor::new(Micros(1), 7, MAX_EARLY_ENDS).no_predecessor(&mut out);
     assert_eq!(out, [Action::TakeWarmUpTurns, Action::Listen, Action::Serve]);
@@ -18,13 +18,17 @@
     successor.handle_message(Message::Yielded, &mut out);
     successor.connection_ended(&mut out);
     successor.tick(Micros(1) + PREDECESSOR_TIMEOUT, &mut out);
-    assert_eq!(out, [Action::TakeWarmUpTurns, Action::Listen, Action::Serve], "once each, the turns first");
+    assert_eq!(
+        out,
+        [Action::TakeWarmUpTurns, Action::Listen, Action::Serve],
+        "each action once, warm-up turns first"
+    );
 }
 
-/// Guards against two processes that pace a cold server as if each were alone: one that hears nothing serves,
-/// but takes no turn until the old one yields or is gone, however long that takes.
+/// Guards against two processes that each warm up a cold server as if they were alone: without an answer the
+/// successor serves, but takes no warm-up turn until the predecessor yields or is gone, however long that takes.
 #[test]
-fn beside_an_old_one_that_says_nothing_it_serves_without_turns() {
+fn serves_without_warm_up_turns_beside_a_predecessor_that_does_not_yield() {
     for message in [Message::Other, Message::Unknown] {
         let (mut successor, mut out) = connected();
         successor.handle_message(message, &mut out);
@@ -38,27 +42,27 @@
     }
 }
 
-/// Seen with three versions within a second: the third asked the first, which gave way to the second already, and
-/// served beside the second for good.
+/// Guards against two processes that serve side by side for good. When three versions started within a second, the
+/// third asked the first, which had already yielded to the second, and then served beside the second.
 #[test]
-fn one_that_meets_a_process_that_gives_way_to_another_asks_that_other() {
+fn reconnects_when_the_predecessor_yields_to_another_process() {
     let (mut successor, mut out) = connected();
     successor.handle_message(Message::Busy, &mut out);
     assert_eq!(out, [Action::Reconnect]);
     out.clear();
     successor.tick(Micros(1) + PREDECESSOR_TIMEOUT, &mut out);
-    assert_eq!(out, [Action::Serve], "it would meet itself");
+    assert_eq!(out, [Action::Serve], "it would connect to itself");
     out.clear();
     successor.connected(&mut out);
     successor.handle_message(Message::Yielded, &mut out);
     assert_eq!(out[1..], [Action::TakeWarmUpTurns, Action::Listen]);
     let (mut successor, mut out) = connected();
     successor.connection_ended(&mut out);
-    assert_eq!(out, [Action::Reconnect], "another may be there");
+    assert_eq!(out, [Action::Reconnect], "another process may listen by now");
 }
 
 #[test]
-fn one_that_meets_a_newer_one_leaves_unless_it_has_taken_anything() {
+fn exits_when_a_newer_process_serves_unless_it_serves_itself() {
     let (mut successor, mut out) = connected();
     successor.handle_message(Message::Newer, &mut out);
     assert_eq!(out, [Action::Exit]);
@@ -70,26 +74,26 @@
 }
 
 #[test]
-fn a_session_that_was_left_before_it_was_passed_is_ended() {
+fn ends_a_session_whose_client_left_before_the_hand_over() {
     let (mut successor, mut out) = connected();
     successor.handle_message(Message::Yielded, &mut out);
     out.clear();
     successor.client_left(Micros(2), 7, &mut out);
-    let passed = |id| SessionTransfer { id, ..SessionTransfer::default() };
-    successor.handle_message(Message::Session(passed(7)), &mut out);
-    successor.handle_message(Message::Session(passed(8)), &mut out);
-    let want = [
+    let session = |id| SessionTransfer { id, ..SessionTransfer::default() };
+    successor.handle_message(Message::Session(session(7)), &mut out);
+    successor.handle_message(Message::Session(session(8)), &mut out);
+    let expected = [
         Action::Send(Message::Left { id: 7 }),
-        Action::AdoptEndedSession(passed(7)),
-        Action::AdoptSession(passed(8)),
+        Action::AdoptEndedSession(session(7)),
+        Action::AdoptSession(session(8)),
     ];
-    assert_eq!(out, want);
+    assert_eq!(out, expected);
     (0..10_000).for_each(|n| successor.client_left(Micros(3), n, &mut Vec::new()));
     assert!(successor.early_ends.len() <= MAX_EARLY_ENDS);
 }
 
 #[test]
-fn as_many_ends_are_remembered_as_sessions_may_be_held() {
+fn remembers_as_many_early_ends_as_sessions_may_be_held() {
     const SESSIONS: usize = 49_152;
     let mut successor = Successor::new(Micros(1), 7, SESSIONS);
     successor.connected(&mut Vec::new());
--- a/src/operate/handover/mod.rs
+++ b/src/operate/handover/mod.rs
@@ -1,5 +1,6 @@
-//! The hand-over from an old process to a new one of the same broker: what the two say to each other, and what each
-//! does about it. No socket, no clock.
+//! The hand-over of a broker from an old process to a new one: the messages between the two and the state machine of
+//! each. They meet on the hand-over socket, on which the process that serves listens. Nothing here owns a socket or
+//! reads a clock.
 
 pub mod giver;
 pub mod heir;
@@ -11,38 +12,39 @@
 
 use crate::api::{Micros, Note, Request, Rung, ServerId, SessionId, Status, Text};
 
-/// What this build speaks. Fields that a build does not know are skipped; a change that both must know raises this.
+/// The protocol version of this build. Unknown fields are skipped, so only a change that both sides must understand
+/// raises it.
 pub const VERSION: u32 = 1;
 
-/// A session that stands, as one process passes it to the other. Classes and tenants go by name: the two processes
-/// may have read different files.
+/// An established session as one process hands it over to the other. Classes and tenants are given by name, as the
+/// two processes may have read different files.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct SessionTransfer {
-    /// The session.
+    /// The session's identifier.
     pub id: u64,
-    /// Name of its class.
+    /// The name of its class.
     pub class: String,
-    /// Name of its tenant.
+    /// The name of its tenant.
     pub tenant: String,
-    /// Its viewer.
+    /// The viewer.
     pub viewer: String,
-    /// What is watched.
+    /// The title that is played.
     pub title: String,
-    /// First cell that holds the title.
+    /// The first cell that holds the title.
     pub home: u32,
-    /// So many cells in a row hold it.
+    /// The number of consecutive cells that hold it.
     pub copies: u32,
-    /// Highest rung that the viewer can use.
+    /// The highest rung that the viewer can use.
     pub top: usize,
-    /// Where it stands.
+    /// The server on which the session plays.
     pub server: String,
     /// The rung in force, if it is known.
     pub rung: Option<usize>,
 }
 
 impl SessionTransfer {
-    /// From a request and where it stands.
+    /// Creates the transfer of a session from its request and the server on which it plays.
     pub fn new(
         request: &Request,
         class: &str,
@@ -64,7 +66,7 @@
         }
     }
 
-    /// The request that it came of, under the numbers that this process has for its class and tenant.
+    /// Returns the request of the session, with the numbers of its class and tenant in this process.
     pub fn request(&self, class: usize, tenant: usize) -> Request {
         let (id, title) = (SessionId(self.id), Text::from(self.title.as_str()));
         let viewer = Text::from(self.viewer.as_str());
@@ -74,62 +76,62 @@
     }
 }
 
-/// What one process says to the other.
+/// A message between the two processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "snake_case")]
 pub enum Message {
-    /// The new one: it can serve, and asks the old one to yield.
+    /// New to old: the sender can serve and asks the receiver to yield.
     TakeOver {
-        /// What it speaks.
+        /// The sender's protocol version.
         version: u32,
-        /// When it started, by the machine's clock that is never set.
+        /// When the sender started, in microseconds of the boot clock.
         started: u64,
     },
-    /// The old one has yielded.
+    /// Old to new: the sender has yielded.
     Yielded,
-    /// The old one gives way to another already.
+    /// Old to new: the sender has already yielded to another process.
     Busy,
-    /// The old one speaks another version.
+    /// Old to new: the sender has another protocol version.
     Other,
-    /// The one that was asked started later than the one that asks.
+    /// Old to new: the sender started later than the process that asks.
     Newer,
-    /// The old one passes a session that stands.
+    /// Old to new: the sender hands over an established session.
     Session(SessionTransfer),
-    /// The old one heard that a session is over that it had passed.
+    /// Old to new: a session that was handed over has ended.
     Over {
         /// The session.
         id: u64,
         /// Its server.
         server: String,
-        /// How it ended, as [`status_name`] has it.
+        /// How it ended, as given by [`status_name`].
         how: String,
     },
-    /// The old one heard a note on a session that it had passed.
+    /// Old to new: a server sent a note on a session that was handed over.
     Noted {
         /// The session.
         id: u64,
         /// Its server.
         server: String,
-        /// Which note: 1 to 4, as on the simulator's wire.
+        /// The kind of note, 1 to 4, numbered as in the simulator's wire protocol.
         note: u8,
-        /// Its figure.
+        /// The note's value.
         figure: f64,
     },
-    /// One heard from a client that a session is over that the other may hold.
+    /// Either way: a client has left a session that the receiver may hold.
     Left {
         /// The session.
         id: u64,
     },
-    /// The old one has nothing left and asks to leave.
+    /// Old to new: the sender has no work left and asks for permission to exit.
     Leaving,
-    /// The new one has taken in all that came before.
+    /// New to old: the sender has processed all earlier messages, so the receiver may exit.
     Leave,
-    /// Of another build.
+    /// A message that this build does not know.
     #[serde(other)]
     Unknown,
 }
 
-/// A note as a number and a figure.
+/// Returns a note as the number of its kind and its value.
 pub fn encode_note(note: Note) -> (u8, f64) {
     match note {
         Note::Delivered(x) => (1, x),
@@ -139,7 +141,7 @@
     }
 }
 
-/// And back.
+/// Returns the note of a kind and a value; `None` if the kind is unknown or the value is not finite.
 pub fn decode_note(number: u8, figure: f64) -> Option<Note> {
     Some(match number {
         1 => Note::Delivered(figure),
@@ -151,7 +153,7 @@
     .filter(|_| figure.is_finite())
 }
 
-/// How a session ended, as a word.
+/// Returns the name of how a session ended. All but completion and cancellation count as a reset.
 pub fn status_name(status: Status) -> &'static str {
     match status {
         Status::Completed => "completed",
@@ -160,7 +162,7 @@
     }
 }
 
-/// And back; what is not known counts as a reset.
+/// Returns the status of a name. An unknown name counts as a reset.
 pub fn parse_status(word: &str) -> Status {
     match word {
         "completed" => Status::Completed,
@@ -169,9 +171,9 @@
     }
 }
 
-/// A message as a line.
+/// Encodes a message as a line.
 pub fn encode(message: &Message) -> Vec<u8> {
-    // Plain records of numbers and text always have a form in JSON.
+    // Serializing plain records of numbers and text can't fail.
     let mut line = serde_json::to_vec(message).unwrap_or_default();
     line.push(b'\n');
     line
@@ -200,7 +202,7 @@
     }
 
     #[test]
-    fn messages_are_read_wherever_they_are_cut_and_a_half_one_counts_for_nothing() {
+    fn reads_messages_split_at_any_byte_and_ignores_an_incomplete_one() {
         let bytes: Vec<u8> = sample_messages().iter().flat_map(encode).collect();
         for cut in 0..=bytes.len() {
             let mut reader = MessageReader::default();
@@ -213,7 +215,7 @@
     }
 
     #[test]
-    fn another_builds_words_are_skipped_and_garbage_ends_the_reading() {
+    fn skips_unknown_messages_and_stops_at_invalid_input() {
         let mut reader = MessageReader::default();
         let bytes = b"{\"say\":\"dance\"}\n{\"say\":\"left\",\"id\":7,\"why\":1}\nx\n{\"say\":\"leave\"}\n";
         assert_eq!(reader.feed(bytes), [Message::Unknown, Message::Left { id: 7 }]);
--- a/src/operate/handover/reader.rs
+++ b/src/operate/handover/reader.rs
@@ -1,11 +1,11 @@
-//! The reading side of a hand-over's connection.
+//! Decoding of the messages on a hand-over connection.
 
 use super::Message;
 
-/// The longest line: a session is some hundred bytes.
+/// The maximum length of a line; a session takes some hundred bytes.
 pub(super) const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// The reading side. What can't be read ends it: nothing behind it counts.
+/// Decodes messages, one JSON object a line. After a line that can't be decoded it ignores all further input.
 #[derive(Debug, Default)]
 pub struct MessageReader {
     line: Vec<u8>,
@@ -13,7 +13,7 @@
 }
 
 impl MessageReader {
-    /// Takes bytes in; gives the messages that are whole.
+    /// Takes in bytes and returns the messages that are complete.
     pub fn feed(&mut self, bytes: &[u8]) -> Vec<Message> {
         let mut messages = Vec::new();
         for piece in bytes.split_inclusive(|b| *b == b'\n') {
@@ -34,7 +34,7 @@
         messages
     }
 
-    /// Whether what came can't be read.
+    /// Whether the input contained a line that can't be decoded.
     pub fn is_broken(&self) -> bool {
         self.is_broken
     }
