--- a/src/operate/settings.rs
+++ b/src/operate/settings.rs
@@ -1,5 +1,5 @@
-//! New settings under requests that are under way: what is taken at once, what waits for the next start, and the
-//! table of classes, whose entries stay as they are while anything refers to them.
+//! Reload of settings while requests are in progress: which fields apply at once, which wait for the next start,
+//! and the tables of classes and tenants, whose entries stay unchanged while anything refers to them.
 
 use std::collections::BTreeSet;
 
@@ -8,24 +8,25 @@
 use crate::api::Settings;
 use crate::roster::SettingNames;
 
-/// Settings with the names that go with them, as they are to be used from now on.
+/// Settings and their names after a reload.
 #[derive(Clone, Debug)]
 pub struct MergedSettings {
-    /// The settings; classes and tenants under the numbers of the table.
+    /// The settings. Classes and tenants have the numbers of the tables.
     pub settings: Settings,
-    /// The names.
+    /// The names of classes, tenants, zones and kinds.
     pub names: SettingNames,
-    /// The table's number for each class of the new file.
+    /// The number in the table for each class of the new file.
     pub class_numbers: Vec<usize>,
-    /// The table's number for each tenant of the new file.
+    /// The number in the table for each tenant of the new file.
     pub tenant_numbers: Vec<usize>,
-    /// Fields that differ and wait for the next start.
+    /// The fields that differ and take effect at the next start.
     pub deferred: Vec<&'static str>,
 }
 
-/// Places for new entries in a table: an entry that is the same keeps its number, one that is free is taken again
-/// (no name led to it before, and nothing refers to it: what goes only now may still be asked for by requests on
-/// their way), the others go to the end. Gives the numbers, and the entries that no name leads to from now on.
+/// Assigns numbers in a table to new entries: an unchanged entry keeps its number, a changed or new one takes a
+/// free number or is appended. A number is free if it was retired before this reload and nothing refers to it; one
+/// that is retired only now may still be named by requests on their way. Returns the numbers and the retired ones,
+/// to which no name leads from now on.
 fn assign_numbers(
     old: usize,
     new: usize,
@@ -35,7 +36,7 @@
     let kept: Vec<Option<usize>> = (0..new).map(|n| (0..old).find(|o| same(*o, n))).collect();
     let mut taken: BTreeSet<usize> = kept.iter().flatten().copied().collect();
     let mut end = old;
-    let mut place = |kept: &Option<usize>| {
+    let mut assign = |kept: &Option<usize>| {
         if let Some(kept) = kept {
             return *kept;
         }
@@ -44,26 +45,27 @@
         taken.insert(free);
         free
     };
-    let numbers: Vec<usize> = kept.iter().map(&mut place).collect();
+    let numbers: Vec<usize> = kept.iter().map(&mut assign).collect();
     let retired = (0..end).filter(|n| !numbers.contains(n)).collect();
     (numbers, retired)
 }
 
-/// Puts entries at their places.
+/// Returns the table with the new entries at their numbers.
 fn update_table<T: Clone>(old: &[T], new: &[T], numbers: &[usize]) -> Vec<T> {
     let mut table = old.to_vec();
     for (n, entry) in numbers.iter().zip(new) {
         if *n < table.len() {
             table[*n] = entry.clone();
         } else {
-            // Numbers beyond the end are given in order.
+            // Numbers beyond the end were assigned in order.
             table.push(entry.clone());
         }
     }
     table
 }
 
-/// Joins new settings with those in use. `in_use` says whether anything refers to a class or a tenant.
+/// Merges new settings into those in force. `class_in_use` and `tenant_in_use` return whether anything refers to
+/// the class or tenant of a number.
 pub fn merge(
     old: (&Settings, &SettingNames),
     new: (&Settings, &SettingNames),
@@ -73,7 +75,7 @@
     let ((old_settings, old_names), (new_settings, new_names)) = (old, new);
     let mut settings = new_settings.clone();
     let mut deferred = Vec::new();
-    // The module's books, and what servers and fronts were told, are shaped by these.
+    // The state of the module, and what servers and clients were sent, depends on the shape of these fields.
     let fixed_shapes: [(&str, bool); 6] = [
         ("settings.FamilyInfo.LadderKb", old_settings.rung_kb.len() == new_settings.rung_kb.len()),
         ("settings.FamilyInfo.Places", old_settings.cells == new_settings.cells),
@@ -104,7 +106,7 @@
             old_names.retired.contains(&o) && !class_in_use(o)
         });
     settings.classes = update_table(&old_settings.classes, &new_settings.classes, &class_numbers);
-    // A tenant's share may change under its requests: it is not theirs but the tenant's.
+    // The share of a tenant may change while its requests are in progress, as it belongs to the tenant, not to them.
     let same_tenant = |o: usize, n: usize| old_names.tenants.get(o) == new_names.tenants.get(n);
     let (tenant_numbers, retired_tenants) =
         assign_numbers(old_settings.tenants.len(), new_settings.tenants.len(), same_tenant, |o| {
@@ -123,12 +125,13 @@
     MergedSettings { settings, names, class_numbers, tenant_numbers, deferred }
 }
 
-/// Keys that a class must have, as without them it would mean something else.
+/// The keys that a class must keep, as it would have another meaning without them.
 const REQUIRED_CLASS_KEYS: [&str; 4] = ["Name", "Effect", "Slo", "Deadline"];
-/// Keys that may come and go.
+/// The keys that may appear and disappear between files.
 const OPTIONAL_KEYS: [&str; 4] = ["console", "known", "board", "seed"];
 
-/// The path of a key that the file in force has and a new one lacks: the platform writes whole files.
+/// Returns the path of a key that is in the file in force but not in the new one, if there is one. Such a file is
+/// incomplete, as the platform always writes all keys.
 pub fn missing_key(old: &Value, new: &Value) -> Option<String> {
     let missing_in = |old: &Value, new: &Value, path: &str| -> Option<String> {
         let old = old.as_object()?;
@@ -169,9 +172,9 @@
     use super::*;
     use crate::api::{Class, Idempotency, Micros, Tenant};
 
-    fn of(classes: &[(&str, Idempotency)], tenants: &[&str]) -> (Settings, SettingNames) {
+    fn settings_with(classes: &[(&str, Idempotency)], tenants: &[&str]) -> (Settings, SettingNames) {
         let mut settings = Settings::new(vec![1.0], vec![1.0]);
-        let class = |(_, effect): &(&str, Idempotency)| Class::new(Micros(1), Micros(2), *effect);
+        let class = |(_, idempotency): &(&str, Idempotency)| Class::new(Micros(1), Micros(2), *idempotency);
         settings.classes = classes.iter().map(class).collect();
         settings.tenants = tenants.iter().map(|_| Tenant { quota_per_s: Some(1.0) }).collect();
         let names = SettingNames {
@@ -190,37 +193,44 @@
         merge((&old.0, &old.1), (&new.0, &new.1), |n| in_use.contains(&n), |n| in_use.contains(&n))
     }
 
-    /// Guards against a stricter effect that holds for requests that were taken under the old one, and the other
-    /// way round.
+    /// Guards against requests whose idempotency changes after they were accepted, to a stricter or to a laxer one.
     #[test]
-    fn a_class_that_changes_or_goes_keeps_its_entry_while_it_is_in_use() {
-        let old = of(&[("paid", Idempotency::Unsafe), ("clip", Idempotency::Safe)], &["home"]);
-        let new = of(
+    fn keeps_the_entry_of_a_changed_or_removed_class_while_in_use() {
+        let old = settings_with(&[("paid", Idempotency::Unsafe), ("clip", Idempotency::Safe)], &["home"]);
+        let new = settings_with(
             &[("clip", Idempotency::Unsafe), ("paid", Idempotency::Unsafe), ("new", Idempotency::Safe)],
             &["lee", "home"],
         );
         let got = merged(&old, &new, &[0, 1]);
         assert_eq!(got.class_numbers, [2, 0, 3]);
-        assert_eq!(got.settings.classes[1].idempotency, Idempotency::Safe, "under way");
+        assert_eq!(got.settings.classes[1].idempotency, Idempotency::Safe, "requests are in progress");
         let number = |name: &str| got.names.class(name);
         assert_eq!((number("clip"), number("paid"), number("new")), (Some(2), Some(0), Some(3)));
         assert_eq!(got.tenant_numbers, [1, 0]);
-        let gone = merged(&(got.settings, got.names), &of(&[("new", Idempotency::Safe)], &["home"]), &[0]);
-        assert_eq!((gone.names.class("paid"), gone.names.class("new")), (Some(0), Some(3)), "on their way");
+        let gone = merged(
+            &(got.settings, got.names),
+            &settings_with(&[("new", Idempotency::Safe)], &["home"]),
+            &[0],
+        );
+        assert_eq!(
+            (gone.names.class("paid"), gone.names.class("new")),
+            (Some(0), Some(3)),
+            "requests may be on their way"
+        );
         let names = SettingNames { lately: false, ..gone.names };
         assert_eq!((names.class("paid"), names.class("new")), (None, Some(3)));
         assert_eq!(gone.settings.classes.len(), 4);
     }
 
-    /// Guards against a table that grows with every file.
+    /// Guards against a table that grows with every reload.
     #[test]
-    fn entries_that_nothing_refers_to_are_taken_again() {
-        let mut now = of(&[("paid", Idempotency::Unsafe)], &["home"]);
+    fn reuses_retired_entries_that_nothing_refers_to() {
+        let mut now = settings_with(&[("paid", Idempotency::Unsafe)], &["home"]);
         for n in 0..1000 {
             let (a, b) = (format!("c{n}"), format!("t{n}"));
             let got = merged(
                 &now,
-                &of(&[("paid", Idempotency::Unsafe), (&a, Idempotency::Safe)], &["home", &b]),
+                &settings_with(&[("paid", Idempotency::Unsafe), (&a, Idempotency::Safe)], &["home", &b]),
                 &[0],
             );
             now = (got.settings, got.names);
@@ -230,7 +240,7 @@
     }
 
     #[test]
-    fn a_file_that_lacks_a_key_of_the_one_in_force_is_not_whole() {
+    fn reports_a_key_that_the_new_file_lacks() {
         let class = json!({"Name": "paid", "Effect": "read_like", "Slo": 1, "Deadline": 2});
         let old = json!({"name": "n", "listen": "x", "known": {}, "limits": {"sockets": 1},
             "settings": {"Fees": {}, "Limits": {"AttemptsCap": 4}, "RequestClasses": [class]}});
@@ -240,14 +250,14 @@
             new.pointer_mut(path).unwrap().as_object_mut().unwrap().remove(key);
             missing_key(&old, &new)
         };
-        for (path, key, told) in [
+        for (path, key, expected) in [
             ("", "limits", "limits"),
             ("", "settings", "settings"),
             ("/settings", "Fees", "settings.Fees"),
             ("/settings/Limits", "AttemptsCap", "settings.Limits.AttemptsCap"),
             ("/settings/RequestClasses/0", "Effect", "settings.RequestClasses[0].Effect"),
         ] {
-            assert_eq!(without(path, key).as_deref(), Some(told));
+            assert_eq!(without(path, key).as_deref(), Some(expected));
         }
         assert_eq!(without("", "known"), None);
     }
