--- a/src/board.rs
+++ b/src/board.rs
@@ -1,5 +1,5 @@
-//! The notice board: numbered events that change the list of servers, read as server-sent events. A state
-//! machine of bytes; the driver opens the connection and keeps the time.
+//! The client of the notice board, which publishes changes of the server list as numbered server-sent events. A state
+//! machine over bytes and times; the driver owns the connection and the clock.
 
 mod patience;
 
@@ -13,29 +13,30 @@
 use crate::roster::{ListUpdate, ListedServer, SettingNames};
 use patience::ProgressTimeout;
 
-/// A comment comes each second: a board that says nothing for so long is asked anew.
+/// The client reconnects to a board that has sent nothing for this long. A board sends a comment every second.
 pub const SILENCE_TIMEOUT: Micros = Micros(2_500_000);
-/// Time between tries to reach a board.
+/// The delay before the client connects to a board again.
 pub const RETRY_DELAY: Micros = Micros(200_000);
-/// A board that doesn't accept a connection within this is tried again.
+/// The time for a board to accept a connection before the client tries again.
 pub const CONNECT_TIMEOUT: Micros = Micros(400_000);
 
-/// After so many askings for the same event a board is taken at its word: what can't be read is left out.
+/// After this many failed reads of the same event the client reads leniently: it skips what it can't read, as the
+/// board may never send anything better.
 const MAX_FAILED_READS: u32 = 4;
 
-/// Why a board is asked again.
+/// The reason why the client reconnects and requests events again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BoardError {
-    /// What it says is no HTTP.
+    /// The response is not valid HTTP.
     Http(HttpError),
-    /// An event can't be read.
+    /// An event is malformed.
     Unreadable,
-    /// Events before this one were missed.
+    /// Events before this one are missing.
     Gap,
 }
 
 impl BoardError {
-    /// The reason code of the log line.
+    /// Returns the reason code for the log.
     pub fn code(self) -> &'static str {
         match self {
             BoardError::Http(error) => error.code(),
@@ -59,19 +60,19 @@
     }
 }
 
-/// Follows one board.
+/// The client of one board.
 #[derive(Debug)]
 pub struct BoardClient {
     names: SettingNames,
     last_event: u64,
-    /// Askings since an event was taken in that found one missing or broken.
+    /// The number of reads since the last applied event that found one missing or malformed.
     failed_reads: u32,
     stream: Option<sse::Stream>,
     timeout: ProgressTimeout,
 }
 
 impl BoardClient {
-    /// Takes in the events of the start.
+    /// Creates a client and applies the events of the configuration, skipping what it can't read.
     pub fn new(names: SettingNames, known: &Value) -> (BoardClient, Vec<ListUpdate>) {
         let mut board = BoardClient {
             names,
@@ -85,8 +86,8 @@
         (board, updates)
     }
 
-    /// Takes in the events of a new configuration, but for those that were heard before: the list is never wound
-    /// back. Behind one that is missing the board itself is asked.
+    /// Applies the events of a new configuration. Events that were applied before are skipped, so that the list never
+    /// goes back to an older state. Events after a gap are skipped too and are requested from the board itself.
     pub fn apply_known(&mut self, known: &Value) -> Vec<ListUpdate> {
         self.apply_all(known, false)
     }
@@ -97,17 +98,17 @@
         notices.into_iter().flatten().filter_map(read).collect()
     }
 
-    /// The number of the last event that was taken in.
+    /// Returns the number of the last event that was applied.
     pub fn last_event(&self) -> u64 {
         self.last_event
     }
 
-    /// The connection is given up if nothing that is whole comes by then.
+    /// Returns the time at which to close the connection unless a complete item arrives before.
     pub fn deadline(&self) -> Micros {
         self.timeout.deadline()
     }
 
-    /// What to write on a fresh connection.
+    /// Returns the request to write on a new connection, which asks for the events after the last applied one.
     pub fn request(&mut self, now: Micros, host: &str) -> Vec<u8> {
         self.timeout.begin(now);
         self.stream = Some(sse::Stream::default());
@@ -116,8 +117,8 @@
         client::request("GET", host, "/board/poll", &headers, None)
     }
 
-    /// Takes bytes of the connection in and hands over what is new, also before an error, which ends the
-    /// connection: the board is then asked again from the last event that was read.
+    /// Takes in bytes of the connection and appends the list updates, including those before an error. After an
+    /// error the connection must be closed, and the next request asks for the events after the last applied one.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -143,8 +144,8 @@
         read.map_err(BoardError::from)
     }
 
-    /// Takes one event in, unless it was heard before. It counts as heard only once it could be read, and only
-    /// behind the one before it; `is_lenient`, as far as it can be read.
+    /// Applies one event unless it was applied before. It counts as applied only if it could be read completely and
+    /// directly follows the last one. If `is_lenient`, unreadable parts are skipped and gaps are accepted.
     fn apply_event(
         &mut self,
         value: &Value,
@@ -170,7 +171,7 @@
             }
             None => return Err(BoardError::Unreadable),
         };
-        // A whole list makes up for all that was missed before it.
+        // A complete list replaces all events that were missed before it.
         if number > self.last_event + 1 && !is_complete && !is_lenient {
             return Err(BoardError::Gap);
         }
@@ -183,7 +184,7 @@
     }
 }
 
-/// Reads one line, if it can be read.
+/// Parses a server of the list; `None` if it is malformed.
 pub fn parse_server(target: &Value, names: &SettingNames) -> Option<ListedServer> {
     let text = |key: &str| target.get(key).and_then(Value::as_str);
     let number = |key: &str| target.get(key).and_then(Value::as_f64).filter(|x| x.is_finite());
@@ -201,8 +202,8 @@
     entry.kind = index(&names.kinds, "model");
     entry.weight = number("capacity_hint").filter(|w| *w > 0.0).unwrap_or(1.0);
     entry.up_since = number("boot_ms").filter(|b| *b > 0.0).map(Micros::from_ms);
-    // Nothing is sent to one that is gone, wherever it was.
-    let nowhere = (state == ServerState::Gone).then_some((Ipv4Addr::UNSPECIFIED, 0).into());
-    let address = text("endpoint").and_then(|endpoint| endpoint.parse().ok()).or(nowhere)?;
+    // A server that is gone needs no valid address, as nothing is sent to it.
+    let unused_address = (state == ServerState::Gone).then_some((Ipv4Addr::UNSPECIFIED, 0).into());
+    let address = text("endpoint").and_then(|endpoint| endpoint.parse().ok()).or(unused_address)?;
     Some(ListedServer::new(entry, address))
 }
--- a/src/board/patience.rs
+++ b/src/board/patience.rs
@@ -1,35 +1,36 @@
-//! How long a notice board is waited for. Single bytes are no sign of life: only what is whole counts, and what has
-//! begun must go on at some rate.
+//! The timeout of a notice board connection. Only complete items count as progress, not single bytes, and an item
+//! that has begun must continue at a minimum rate.
 
 use super::SILENCE_TIMEOUT;
 use crate::api::Micros;
 use crate::http::sse::Progress;
 
-/// The longest time for something that has begun and is small, once a shorter one was not enough: with the next dial it
-/// stays within the 6 s after which a change counts as told (operators' report c7ba89).
+/// The timeout for a small item that has begun, once [`SILENCE_TIMEOUT`] was too short. Together with the next
+/// dial it stays within the 6 s after which a change counts as delivered (operators' report c7ba89).
 const EXTENDED_TIMEOUT: Micros = Micros(4_000_000);
-/// What has begun may take longer by its size at this rate, in bytes a second.
+/// The minimum rate of an item that has begun: the timeout grows by the time that its bytes take at this rate.
 const MIN_BYTES_PER_S: u64 = 64 * 1024;
 
-/// How long one board is waited for, over all its connections.
+/// The timeout of one board, over all its connections.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProgressTimeout {
-    /// When the last whole thing came on this connection, and how many had by then.
+    /// When the last complete item arrived on this connection.
     last_progress_at: Micros,
+    /// What has arrived on this connection.
     progress: Progress,
-    /// The last connection was given up in the middle of something.
+    /// An earlier connection was closed within an item, and no event has been completed since.
     was_cut_short: bool,
 }
 
 impl ProgressTimeout {
-    /// A new connection was asked.
+    /// Starts the timeout for a new connection.
     pub fn begin(&mut self, now: Micros) {
-        // Whatever had begun on the last one did not end there.
+        // An item that is pending on the last connection was not completed there.
         self.was_cut_short |= self.progress.pending > 0;
         (self.last_progress_at, self.progress) = (now, Progress::default());
     }
 
-    /// So much has come on the connection by now.
+    /// Records what has arrived on the connection by now.
     pub fn progressed(&mut self, now: Micros, progress: Progress) {
         if progress.whole > self.progress.whole {
             self.last_progress_at = now;
@@ -40,7 +41,7 @@
         self.progress = progress;
     }
 
-    /// The connection is given up if nothing more is whole by then.
+    /// Returns the time at which the connection times out unless another item is completed.
     pub fn deadline(&self) -> Micros {
         let pending = self.progress.pending as u64;
         if pending == 0 {
@@ -66,7 +67,7 @@
     }
 
     #[test]
-    fn single_bytes_put_nothing_off_but_for_their_time_at_the_least_rate() {
+    fn single_bytes_extend_the_deadline_only_by_their_time_at_the_minimum_rate() {
         let mut timeout = ProgressTimeout::default();
         timeout.begin(START);
         assert_eq!(timeout.deadline(), at(2_500));
@@ -79,7 +80,7 @@
     }
 
     #[test]
-    fn what_is_long_and_goes_on_has_longer() {
+    fn a_long_item_extends_the_deadline_by_its_size() {
         let mut timeout = ProgressTimeout::default();
         timeout.begin(START);
         timeout.progressed(at(2_000), progress(1, 0, 640 * 1024));
@@ -87,7 +88,7 @@
     }
 
     #[test]
-    fn what_was_cut_short_has_longer_the_next_time_until_an_event_is_whole() {
+    fn uses_the_extended_timeout_after_a_cut_until_an_event_is_complete() {
         let mut timeout = ProgressTimeout::default();
         timeout.begin(START);
         timeout.progressed(at(1_000), progress(0, 0, 1));
