--- a/src/trace/events.rs
+++ b/src/trace/events.rs
@@ -1,16 +1,16 @@
-//! The events: their names in the log, their fields, how they are written and how they are read.
+//! The trace events: their names and fields in the log, and how they are written and parsed.
 
 use std::borrow::Cow;
 
 use serde::{Deserialize, Serialize};
 
-/// A field that a line holds as text.
+/// Looks up the text of a field in a line.
 pub(super) type Get<'a> = &'a dyn Fn(&str) -> Option<Cow<'a, str>>;
 
-/// Declares the events once: their names in the log, their fields, how they are written and how they are read.
+/// Declares the event type with the writer and the parser of its log lines from one table of names and fields.
 macro_rules! events {
     ($($(#[$doc:meta])* $name:literal $Event:ident { $($(#[$about:meta])* $field:ident : $of:ty,)* })*) => {
-        /// One thing that happened to a request, a connection or a server.
+        /// An event of a request, a connection or a server.
         #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
         #[serde(tag = "event")]
         pub enum Event {
@@ -18,7 +18,7 @@
         }
 
         impl Event {
-            /// Writes it to the log. `at_us` is the broker's time, in microseconds of the Unix clock.
+            /// Writes the event to the log. `at_us` is the broker's Unix time in microseconds.
             pub fn write(&self, at_us: u64) {
                 match self {
                     $(Event::$Event { $($field,)* } => {
@@ -27,7 +27,7 @@
                 }
             }
 
-            /// Its name in the log.
+            /// Returns the name of the event in the log.
             pub fn name(&self) -> &'static str {
                 match self { $(Event::$Event { .. } => $name,)* }
             }
@@ -35,7 +35,7 @@
             /// The names of all events.
             pub const NAMES: &'static [&'static str] = &[$($name,)*];
 
-            /// Reads the event of a line of text from its fields; none if one is missing or can't be read.
+            /// Parses an event from the fields of a text line; `None` if a field is missing or malformed.
             pub(super) fn from_fields(name: &str, get: Get) -> Option<Event> {
                 match name {
                     $($name => Some(Event::$Event { $($field: get(stringify!($field))?.parse().ok()?,)* }),)*
@@ -47,49 +47,49 @@
 }
 
 events! {
-    /// A client asks for a session.
+    /// A client requests a session.
     "session.asked" Asked {
-        /// The session, 16 hex digits.
+        /// The session's identifier, 16 hex digits.
         id: String,
-        /// Its class.
+        /// The class of the request.
         class: String,
-        /// Its tenant.
+        /// The tenant of the request.
         tenant: String,
-        /// What it wants to watch.
+        /// The requested title.
         title: String,
-        /// How long the client waits, ms.
+        /// The time for which the client waits, in ms.
         left_ms: u64,
-        /// It is not the client's first try.
+        /// Whether the client has requested this session before.
         again: bool,
     }
-    /// A client names a session that plays already: it is held here from now on.
+    /// A client names a session that already plays; this broker holds it from now on.
     "session.opened" Opened {
         /// The session.
         id: String,
-        /// What is watched.
+        /// The title that plays.
         title: String,
-        /// Its server.
+        /// The server on which it plays.
         server: String,
     }
-    /// A set-up goes out to a server.
+    /// A set-up is sent to a server.
     "session.sent" Sent {
         /// The session.
         id: String,
-        /// Number of the attempt, from 0.
+        /// The number of the attempt, from 0.
         attempt: u64,
         /// The server.
         server: String,
         /// The server's zone.
         zone: u64,
-        /// The rung, from 0.
+        /// The requested rung, from 0.
         rung: u64,
         /// The highest rung that the client can use and its class allows.
         top: u64,
-        /// Time since the request, ms.
+        /// The time since the request, in ms.
         held_ms: u64,
-        /// Age of the last word from that server, ms; -1: it was never heard.
+        /// The age of the last message from that server, in ms; -1 if there was none.
         heard_ms: i64,
-        /// Time since the server started, ms; -1: long ago.
+        /// The time since the server started, in ms; -1 if that is long ago.
         up_ms: i64,
     }
     /// An attempt ended without a session.
@@ -98,118 +98,119 @@
         id: String,
         /// The server.
         server: String,
-        /// `full`, `error`, `late`, `refused`, `reset`, `cancelled` or `moot`.
+        /// The outcome: `full`, `error`, `late`, `refused`, `reset`, `cancelled` or `moot`.
         how: String,
-        /// Time since the set-up went out, ms.
+        /// The time since the set-up was sent, in ms.
         took_ms: u64,
     }
-    /// The end of an attempt that was given up is written, or its connection is over: the next one may begin.
+    /// The end of a withdrawn attempt was written, or its connection has ended: the next attempt may begin.
     "session.withdrawn" Withdrawn {
         /// The session.
         id: String,
         /// The server.
         server: String,
     }
-    /// Final answer: it plays.
+    /// Final answer: the session plays.
     "session.plays" Plays {
         /// The session.
         id: String,
         /// The server.
         server: String,
-        /// Attempts made.
+        /// The number of attempts.
         attempts: u64,
-        /// Time since the request, ms.
+        /// The time since the request, in ms.
         took_ms: u64,
     }
-    /// Final answer: refused.
+    /// Final answer: the request was refused.
     "session.refused" Refused {
         /// The session.
         id: String,
-        /// How its last attempt ended; `unsent`: there was none.
+        /// The outcome of the last attempt; `unsent` if there was none.
         reason: String,
-        /// Attempts made.
+        /// The number of attempts.
         attempts: u64,
-        /// Time since the request, ms.
+        /// The time since the request, in ms.
         took_ms: u64,
-        /// Advice to stay away, ms.
+        /// The time after which the client may retry, in ms.
         wait_ms: u64,
     }
-    /// Final answer: failed.
+    /// Final answer: the request failed.
     "session.failed" Failed {
         /// The session.
         id: String,
-        /// How its last attempt ended; `unsent`: there was none.
+        /// The outcome of the last attempt; `unsent` if there was none.
         reason: String,
-        /// Attempts made.
+        /// The number of attempts.
         attempts: u64,
-        /// Time since the request, ms.
+        /// The time since the request, in ms.
         took_ms: u64,
     }
-    /// The answer that a session plays is queued on its client's connection.
+    /// The answer that a session plays was queued on the client's connection.
     "reply.queued" ReplyQueued {
         /// The session.
         id: String,
-        /// The connection's number, as in the lines on ends of connections.
+        /// The connection's number, as in the log lines of connection ends.
         conn: u64,
     }
-    /// The answer that a session plays was written whole.
+    /// The answer that a session plays was completely written.
     "reply.written" ReplyWritten {
         /// The session.
         id: String,
         /// The connection's number.
         conn: u64,
     }
-    /// A final answer that nobody waits for any more: its client's connection is gone.
+    /// A final answer was dropped, as the client's connection is gone.
     "reply.dropped" ReplyDropped {
         /// The session.
         id: String,
     }
-    /// The rung of a playing session changes.
+    /// The rung of a playing session changed.
     "session.rung" Rung {
         /// The session.
         id: String,
         /// The server.
         server: String,
-        /// The rung before.
+        /// The previous rung.
         from: u64,
-        /// The rung now.
+        /// The current rung.
         rung: u64,
     }
-    /// A release goes to a server: of a session that stood, or of one that began after its attempt was given up.
+    /// A release is sent to a server: for an established session, or for one that was set up after its attempt was
+    /// withdrawn.
     "session.released" Released {
         /// The session.
         id: String,
         /// The server.
         server: String,
     }
-    /// A session that stood is over.
+    /// An established session has ended.
     "session.over" Over {
         /// The session.
         id: String,
-        /// `completed`, `reset`, `cancelled`, `left` or `moved`.
+        /// The outcome: `completed`, `reset`, `cancelled`, `left` or `moved`.
         how: String,
     }
     /// A connection to a server is opened.
     "link.dial" Dial {
         /// The server.
         server: String,
-        /// `set-up`, `notes` (for sessions that play there) or `check` (whether it is lost).
+        /// The reason: `set-up`, `notes` (for sessions that play there) or `check` (whether the server is lost).
         why: String,
     }
-    /// A server's word on its load.
+    /// A server reports its load.
     "box.told" Told {
         /// The server.
         server: String,
-        /// `link`, `uplink` or `delivered`.
+        /// The measure: `link`, `uplink` or `delivered`.
         what: String,
-        /// In thousandths.
+        /// The value, in thousandths.
         mille: u64,
     }
-    /// Lines left out for want of budget.
+    /// Lines were left out because the budget was exhausted.
     "trace.dropped" Dropped {
-        /// Lines of sessions that were traced.
+        /// The number of lines left out of traced sessions.
         lines: u64,
-        /// Sessions that were not traced at all.
+        /// The number of sessions that were not traced.
         sessions: u64,
     }
 }
--- a/src/trace/known.rs
+++ b/src/trace/known.rs
@@ -1,23 +1,23 @@
-//! What is remembered of sessions and servers, and the words for it.
+//! The state that the tracer keeps of sessions and servers, and its representation in events.
 
 use crate::api::{Micros, ServerId, SessionId, Status};
 
-/// What is known of a session that is told.
+/// The state of a traced session.
 #[derive(Debug)]
 pub(super) struct TracedSession {
     pub(super) received_at: Micros,
     pub(super) top: u64,
     pub(super) rung: u64,
     pub(super) attempts: u64,
-    /// Where the attempt that is out went, and when.
+    /// The server of the current attempt and when its set-up was sent.
     pub(super) attempt: Option<(ServerId, Micros)>,
-    /// How the last attempt ended.
+    /// The outcome of the last attempt.
     pub(super) last_status: &'static str,
-    /// Where it plays.
+    /// The server on which the session plays.
     pub(super) server: Option<ServerId>,
 }
 
-/// What is known of a listed server.
+/// The state of a server in the list.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct KnownServer {
     pub(super) last_heard: Option<Micros>,
@@ -26,7 +26,7 @@
 }
 
 impl TracedSession {
-    /// A request that has just come.
+    /// Creates the state of a request that was received now.
     pub(super) fn new(now: Micros, top: u64) -> TracedSession {
         TracedSession {
             received_at: now,
@@ -39,18 +39,18 @@
         }
     }
 
-    /// How its last attempt ended.
+    /// Returns the outcome of the last attempt for the final answer.
     pub(super) fn reason(&self) -> String {
         if self.attempt.is_some() { "given-up".to_owned() } else { self.last_status.to_owned() }
     }
 }
 
-/// Whole milliseconds.
+/// Returns a time span in whole milliseconds.
 pub(super) fn whole_ms(span: Micros) -> u64 {
     span.0 / 1000
 }
 
-/// The word for how an attempt or a session ended.
+/// Returns the name of the outcome of an attempt or a session.
 pub(super) fn status_name(status: Status) -> &'static str {
     match status {
         Status::Completed => "completed",
@@ -64,7 +64,7 @@
     }
 }
 
-/// A session's id as on the wire.
+/// Returns a session's identifier as it is written on the wire.
 pub(super) fn id_text(id: SessionId) -> String {
     format!("{:016x}", id.0)
 }
--- a/src/trace/mod.rs
+++ b/src/trace/mod.rs
@@ -1,5 +1,5 @@
-//! What a broker tells of each request, for those who read the logs of a fleet: typed events, written as lines of
-//! the log and read back from them, so that writer and reader can't drift apart. Off unless asked for.
+//! Request tracing: typed events, written as log lines by a broker and parsed back by tools that read the logs of
+//! a fleet. Writer and parser share one definition, so that they can't diverge. Off by default.
 
 mod budget;
 mod events;
--- a/src/trace/record.rs
+++ b/src/trace/record.rs
@@ -1,4 +1,4 @@
-//! Lines of a log read back into events.
+//! Parsing of log lines into trace events.
 
 use std::borrow::Cow;
 
@@ -6,35 +6,36 @@
 
 use super::Event;
 
-/// An event and when it was, in microseconds of the broker's Unix clock.
+/// An event and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// When.
+    /// The broker's Unix time of the event, in microseconds.
     pub at_us: u64,
-    /// What.
+    /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
 
 impl Record {
-    /// Reads one line of a log in either form, as JSON or as text. Words before the event's name, as a time that a
-    /// collector puts there, don't matter. None for all other lines. A line of text that was cut within its last
-    /// number reads as a smaller one: only lines whose line feed came may be given.
+    /// Parses one line of a log, as JSON or as text; `None` if it holds no trace event. Text before the event's
+    /// name, such as a timestamp that a collector adds, is ignored. A text line that was cut within its last
+    /// number would parse as a smaller number, so only lines that ended with a line feed may be passed.
     pub fn read(line: &str) -> Option<Record> {
         let line = line.trim_end_matches('\r');
         match line.find('{').filter(|at| line[*at..].starts_with("{\"")) {
             Some(at) if line.ends_with('}') => serde_json::from_str(&line[at..]).ok(),
-            _ => Record::text(line),
+            _ => Record::parse_text(line),
         }
     }
 
-    fn text(line: &str) -> Option<Record> {
-        let named = Event::NAMES.iter().filter_map(|name| {
+    fn parse_text(line: &str) -> Option<Record> {
+        let found = Event::NAMES.iter().filter_map(|name| {
             let at = line.find(name)?;
-            let whole = line[at + name.len()..].starts_with(' ') && (at == 0 || line[..at].ends_with(' '));
-            whole.then_some((at, *name))
+            let is_whole_word =
+                line[at + name.len()..].starts_with(' ') && (at == 0 || line[..at].ends_with(' '));
+            is_whole_word.then_some((at, *name))
         });
-        let (at, name) = named.min()?;
+        let (at, name) = found.min()?;
         let mut at = at + name.len() + 1;
         let mut fields: Vec<(&str, Cow<str>)> = Vec::new();
         while at < line.len() {
@@ -50,7 +51,7 @@
     }
 }
 
-/// A value of a line of text, bare or quoted, and the bytes that it takes there.
+/// Parses a value at the start of the text, bare or quoted, and returns it with the number of bytes that it takes.
 fn value(rest: &str) -> Option<(Cow<'_, str>, usize)> {
     let Some(quoted) = rest.strip_prefix('"') else {
         let end = rest.find(' ').unwrap_or(rest.len());
--- a/src/trace/tracer.rs
+++ b/src/trace/tracer.rs
@@ -1,5 +1,5 @@
-//! What of a broker's requests is told, within a budget of lines a second. A session is told whole or not at all
-//! as far as the budget allows, so that a request can be followed by its id.
+//! The tracer of a broker's requests, within a budget of lines per second. As far as the budget allows, a session is
+//! traced completely or not at all, so that a request can be followed by its id.
 
 mod servers;
 
@@ -12,10 +12,10 @@
 use crate::broker::{Effect, Input};
 use crate::platform::links::ConnId;
 
-/// What was left out is told so often.
+/// The interval at which the number of lines and sessions left out is reported.
 const DROPPED_REPORT_INTERVAL: Micros = Micros(1_000_000);
 
-/// What is told of one broker's requests. Free of clocks and sockets.
+/// The tracer of one broker. It reads no clock and writes to no socket.
 #[derive(Debug)]
 pub struct Tracer {
     budget: Budget,
@@ -27,7 +27,7 @@
 }
 
 impl Tracer {
-    /// Tells so many lines a second at most, over some seconds; none for 0.
+    /// Creates a tracer that emits at most this many lines per second on average over some seconds; none for 0.
     pub fn new(lines_per_s: u32) -> Tracer {
         Tracer {
             budget: Budget::new(f64::from(lines_per_s)),
@@ -39,12 +39,12 @@
         }
     }
 
-    /// What is to be written since the last call.
+    /// Returns the events since the last call, which are to be written to the log.
     pub fn take_events(&mut self) -> Vec<(Micros, Event)> {
         std::mem::take(&mut self.lines)
     }
 
-    /// Sessions or servers that are remembered, whichever are the most.
+    /// Returns the number of tracked sessions or of tracked servers, whichever is greater.
     pub fn tracked_entries(&self) -> usize {
         self.sessions.len().max(self.servers.len())
     }
@@ -59,12 +59,12 @@
         if self.dropped != (0, 0) && now >= self.dropped_at + DROPPED_REPORT_INTERVAL {
             let (lines, sessions) = std::mem::take(&mut self.dropped);
             self.dropped_at = now;
-            // This one goes beside the budget: once a second at most.
+            // This event is exempt from the budget, as it is written at most once a second.
             self.lines.push((now, Event::Dropped { lines, sessions }));
         }
     }
 
-    /// What the core is told by servers and clients.
+    /// Records an input of the core from servers and clients.
     pub fn record_input(&mut self, now: Micros, input: &Input) {
         match input {
             Input::Established { server, .. } => self.server_heard(now, server),
@@ -87,7 +87,7 @@
         }
     }
 
-    /// What the core decides. Of an attempt that is given up what follows tells why.
+    /// Records a decision of the core. The reason why an attempt was withdrawn shows in the events that follow.
     pub fn record_effect(&mut self, now: Micros, effect: &Effect) {
         match effect {
             Effect::Withdraw(id, _) => self.attempt_ended(now, *id, Status::TimedOut),
@@ -104,12 +104,12 @@
         }
     }
 
-    /// A client asks, of a class that plays up to a rung.
+    /// Records a request of a client. `max_rung` is the highest rung of its class.
     pub fn request_received(
         &mut self,
         now: Micros,
         request: &Request,
-        (class, most): (&str, Rung),
+        (class, max_rung): (&str, Rung),
         tenant: &str,
     ) {
         self.budget.refill(now);
@@ -117,14 +117,14 @@
             self.dropped.1 += 1;
             return;
         }
-        let top = request.top.min(most).0 as u64;
+        let top = request.top.min(max_rung).0 as u64;
         self.sessions.insert(request.id, TracedSession::new(now, top));
         let (class, tenant, title) = (class.to_owned(), tenant.to_owned(), request.title.to_string());
         let (id, left_ms, again) = (id_text(request.id), whole_ms(request.due - now), request.again);
         self.push(now, Event::Asked { id, class, tenant, title, left_ms, again });
     }
 
-    /// A client names a session that plays already; nothing is told of one that is known.
+    /// Records a playing session that a client names, unless it is tracked already.
     fn session_adopted(&mut self, now: Micros, request: &Request, server: &ServerId) {
         self.budget.refill(now);
         if self.sessions.contains_key(&request.id) || !self.budget.admits_session() {
@@ -137,7 +137,7 @@
         self.push(now, Event::Opened { id, title, server: server.to_string() });
     }
 
-    /// A set-up goes out.
+    /// Records that a set-up was sent.
     pub fn set_up_sent(&mut self, now: Micros, id: SessionId, server: &ServerId, rung: Option<Rung>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let KnownServer { last_heard, up_since, zone } =
@@ -153,7 +153,7 @@
         self.push(now, Event::Sent { id, attempt, server, zone, rung, top, held_ms, heard_ms, up_ms });
     }
 
-    /// An attempt ended without a session, or was given up.
+    /// Records that an attempt ended without a session or was withdrawn.
     pub fn attempt_ended(&mut self, now: Micros, id: SessionId, status: Status) {
         let Some(session) = self.sessions.get_mut(&id).filter(|session| session.server.is_none()) else {
             return;
@@ -164,7 +164,7 @@
         self.push(now, Event::Turned { id: id_text(id), server: server.to_string(), how, took_ms });
     }
 
-    /// Final answer: it plays.
+    /// Records the final answer that the session plays.
     pub fn session_established(&mut self, now: Micros, id: SessionId) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let server = session.attempt.take().map(|(server, _)| server).unwrap_or_default();
@@ -174,7 +174,7 @@
         self.push(now, Event::Plays { id: id_text(id), server, attempts, took_ms });
     }
 
-    /// Final answer: refused, with advice to stay away.
+    /// Records the final answer that the request was refused, with the time after which the client may retry.
     pub fn request_refused(&mut self, now: Micros, id: SessionId, wait: Micros) {
         let Some(session) = self.sessions.remove(&id) else { return };
         let (reason, attempts, took_ms) =
@@ -185,7 +185,7 @@
         );
     }
 
-    /// Final answer: failed.
+    /// Records the final answer that the request failed.
     pub fn request_failed(&mut self, now: Micros, id: SessionId) {
         let Some(session) = self.sessions.remove(&id) else { return };
         let (reason, attempts, took_ms) =
@@ -193,7 +193,7 @@
         self.push(now, Event::Failed { id: id_text(id), reason, attempts, took_ms });
     }
 
-    /// A final answer goes to its client's connection, if that is there still.
+    /// Records that a final answer was queued on the client's connection, or dropped if that is gone.
     pub fn reply_sent(&mut self, now: Micros, id: SessionId, conn: Option<ConnId>) {
         match conn {
             None => self.push(now, Event::ReplyDropped { id: id_text(id) }),
@@ -204,14 +204,14 @@
         }
     }
 
-    /// The answer that a session plays was written whole.
+    /// Records that the answer that a session plays was completely written.
     pub fn reply_written(&mut self, now: Micros, id: SessionId, conn: ConnId) {
         if self.sessions.contains_key(&id) {
             self.push(now, Event::ReplyWritten { id: id_text(id), conn: conn.0 });
         }
     }
 
-    /// The rung of a session changes.
+    /// Records the rung of a session. For one that does not play yet nothing is traced.
     pub fn rung_changed(&mut self, now: Micros, id: SessionId, rung: Rung) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let Some(server) = session.server.as_ref().map(ServerId::to_string) else { return };
@@ -219,12 +219,12 @@
         self.push(now, Event::Rung { id: id_text(id), server, from, rung });
     }
 
-    /// A session that stood is over, or its client left.
+    /// Records that a session has ended; `None` if its client left.
     pub fn session_ended(&mut self, now: Micros, id: SessionId, how: Option<Status>) {
         self.end_session(now, id, how.map_or("left", status_name));
     }
 
-    /// A session that stood is moved.
+    /// Records that a session was moved to another server.
     pub fn session_moved(&mut self, now: Micros, id: SessionId) {
         self.end_session(now, id, "moved");
     }
--- a/src/trace/tracer/servers.rs
+++ b/src/trace/tracer/servers.rs
@@ -1,11 +1,11 @@
-//! What is told of servers, and remembered of them.
+//! Tracing of servers: their connections, load reports and the state kept of each.
 
 use super::super::Event;
 use super::Tracer;
 use crate::api::{Micros, Note, ServerEntry, ServerId, ServerState};
 
 impl Tracer {
-    /// The list of servers: what is gone is forgotten.
+    /// Applies entries of the server list. Servers that are gone are removed.
     pub fn update_servers(&mut self, entries: &[ServerEntry]) {
         for entry in entries {
             if entry.state == ServerState::Gone {
@@ -17,24 +17,24 @@
         }
     }
 
-    /// These alone are left of a list that came whole.
-    pub fn retain_servers(&mut self, listed: impl Fn(&ServerId) -> bool) {
-        self.servers.retain(|id, _| listed(id));
+    /// Removes all servers that are not in a complete list.
+    pub fn retain_servers(&mut self, is_listed: impl Fn(&ServerId) -> bool) {
+        self.servers.retain(|id, _| is_listed(id));
     }
 
-    /// A server was heard.
+    /// Records that a server sent a message.
     pub fn server_heard(&mut self, now: Micros, server: &ServerId) {
         if let Some(known) = self.servers.get_mut(server) {
             known.last_heard = Some(now);
         }
     }
 
-    /// A connection to a server is opened.
+    /// Records that a connection to a server is opened.
     pub fn connection_opened(&mut self, now: Micros, server: &ServerId, why: &str) {
         self.push(now, Event::Dial { server: server.to_string(), why: why.to_owned() });
     }
 
-    /// A server's word on its load.
+    /// Records a load report of a server.
     pub fn load_reported(&mut self, now: Micros, server: &ServerId, note: Note) {
         let (what, share) = match note {
             Note::Link(full) => ("link", full),
