--- a/src/faults.rs
+++ b/src/faults.rs
@@ -1,9 +1,9 @@
-//! Faults that the trials bring about inside a process: a disk that is full, fails to sync or is slow, bytes that
-//! are lost with what was not synced, a clock that runs too fast, a stop at one exact place. Without the feature
-//! `trials` there are none: each call here is then empty.
+//! Fault injection for the trials: a disk that is full, fails to sync or is slow, loss of unsynced bytes, a clock
+//! that runs too fast, and a stop at an exact place in the code. Without the feature `trials` the functions do
+//! nothing.
 //!
-//! A trial names a folder by `AMBERSPINDLE_FAULTS`; a file in it is a fault that is there, from the moment that the
-//! file is.
+//! The environment variable `AMBERSPINDLE_FAULTS` names a folder. A fault is active while a file of its name exists
+//! there.
 
 #[cfg(feature = "trials")]
 mod injected {
@@ -19,17 +19,17 @@
         std::fs::read_to_string(folder()?.join(name)).ok()
     }
 
-    /// Whether a fault is there.
+    /// Whether a fault is active.
     pub fn injected(name: &str) -> bool {
         folder().is_some_and(|folder| folder.join(name).exists())
     }
 
-    /// The figure that a fault's file holds.
+    /// Returns the number in the file of a fault.
     pub fn injected_value(name: &str) -> Option<f64> {
         read_fault(name)?.trim().parse().ok()
     }
 
-    /// Stops this process here, if the trial says so, until it is continued.
+    /// Stops this process until it gets SIGCONT, if the file `stop-at` names this place.
     pub fn stop_at(place: &str) {
         if read_fault("stop-at").is_some_and(|wanted| wanted.trim() == place)
             && let Some(folder) = folder()
@@ -37,7 +37,7 @@
         {
             let _ = std::fs::write(folder.join("stopped-at"), place);
             let _ = rustix::process::kill_process(rustix::process::getpid(), rustix::process::Signal::STOP);
-            // The signal may reach another thread first: this one goes no further until the stop was seen.
+            // The signal may reach another thread first: this one waits until a gap in its sleep shows the stop.
             let mut last_wake = std::time::Instant::now();
             while last_wake.elapsed() < std::time::Duration::from_millis(200) {
                 last_wake = std::time::Instant::now();
@@ -49,19 +49,19 @@
 
 #[cfg(not(feature = "trials"))]
 mod injected {
-    /// Whether a fault is there: never.
+    /// Whether a fault is active: never.
     #[inline(always)]
     pub fn injected(_: &str) -> bool {
         false
     }
 
-    /// The figure that a fault's file holds: none.
+    /// Returns the number in the file of a fault: none.
     #[inline(always)]
     pub fn injected_value(_: &str) -> Option<f64> {
         None
     }
 
-    /// Stops this process here, if the trial says so: never.
+    /// Stops this process at a place: never.
     #[inline(always)]
     pub fn stop_at(_: &str) {}
 }
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,5 +1,5 @@
-//! Structured logs on standard output: an event, its fields, and a time. As text a line reads `event field=value`
-//! or, where the event has words of its own, those words; as JSON a line is one object with `event` and fields.
+//! Structured logs on standard output. A text line reads `event field=value` or, if the event has a message, that
+//! message alone; a JSON line is one object with a time, `event` and the fields.
 
 use std::fmt;
 use std::io;
@@ -11,17 +11,17 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// How lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// Words and `field=value`.
+    /// Text with `field=value`.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// The text of a line.
+/// Collects the parts of a text line.
 #[derive(Default)]
 struct LineVisitor {
     event: String,
@@ -32,7 +32,7 @@
 impl Visit for LineVisitor {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         use fmt::Write as _;
-        // Writing to a text can't fail.
+        // Writing to a String can't fail.
         let _ = match field.name() {
             "message" => write!(self.message, "{value:?}"),
             "event" => write!(self.event, "{value:?}"),
@@ -44,7 +44,7 @@
         match field.name() {
             "message" => self.message += value,
             "event" => self.event += value,
-            // What holds a space is quoted, so that a line can be taken apart.
+            // Values with spaces, quotes or control characters are quoted, so that a line can be parsed.
             name if value.contains(|c: char| c == ' ' || c == '"' || c.is_control()) => {
                 self.fields += &format!(" {name}={value:?}")
             }
@@ -53,6 +53,7 @@
     }
 }
 
+/// Formats events as text lines.
 struct TextFormat;
 
 impl<S, N> FormatEvent<S, N> for TextFormat
@@ -76,7 +77,7 @@
     }
 }
 
-/// The log in a form, written to a place.
+/// Returns a log with this format and output.
 fn dispatch<W>(format: Format, output: W) -> tracing::Dispatch
 where
     W: for<'a> tracing_subscriber::fmt::MakeWriter<'a> + Send + Sync + 'static,
@@ -90,20 +91,20 @@
     }
 }
 
-/// Starts the log. A log that can't be written must not end the broker: what fails is dropped.
+/// Starts the log. Lines that can't be written are dropped, as a failing log must not end the broker.
 pub fn start(format: Format) {
-    // A second start, as in tests, leaves the first in place.
+    // A second start, as in tests, has no effect.
     let _ = tracing::dispatcher::set_global_default(dispatch(format, io::stdout));
 }
 
-/// A place in memory, for tests of what lines look like.
+/// A log output in memory, for tests of the format.
 #[cfg(test)]
 #[derive(Clone, Default)]
 pub(crate) struct MemoryLog(std::sync::Arc<std::sync::Mutex<Vec<u8>>>);
 
 #[cfg(test)]
 impl MemoryLog {
-    /// What was written.
+    /// Returns the text that was written.
     pub(crate) fn text(&self) -> String {
         let bytes = self.0.lock().map(|bytes| bytes.clone()).unwrap_or_default();
         String::from_utf8_lossy(&bytes).into_owned()
@@ -124,7 +125,7 @@
     }
 }
 
-/// Does something with the log going to a place in memory.
+/// Runs a function with the log written to memory.
 #[cfg(test)]
 pub(crate) fn with_output_to(format: Format, sink: MemoryLog, act: impl FnOnce()) {
     tracing::dispatcher::with_default(&dispatch(format, move || sink.clone()), act);
--- a/src/mutant.rs
+++ b/src/mutant.rs
@@ -1,58 +1,59 @@
-//! Wrong ways of doing things, for trials that must find them. Without the feature `trials` there are none.
+//! Mutants: deliberate faults in the code that the trials must detect. Without the feature `trials` none can be
+//! active.
 
-/// One way of being wrong.
+/// A deliberate fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
-    /// Neither side sets a part aside for drift.
+    /// Neither the holder of a lease nor the leader allows for clock drift.
     NoDrift,
-    /// The holder counts from the receipt of the answer.
+    /// The holder counts its lease from the receipt of the answer instead of the sending of its request.
     FromReceipt,
-    /// The holder does not look at its lease again after a wait.
+    /// The holder does not check its lease again after a wait.
     NoSecondLook,
-    /// A voter tells of its vote before that is on disk.
+    /// A voter announces its vote before that is on disk.
     NotSynced,
-    /// A new leader calls leases expired at once.
+    /// A new leader treats leases as expired at once.
     NoWait,
-    /// Epochs begin anew with each reign.
+    /// Epochs restart with each term of a leader.
     EpochsReused,
-    /// A permit is kept and used again.
+    /// A permit is kept and reused.
     KeptPermit,
-    /// Runs of one name are taken for the same.
+    /// Different runs of one process name are treated as the same process.
     Twins,
     /// A leader answers without asking a majority whether it still leads.
     NoConfirm,
-    /// A voter that lost its folder votes again under its old name.
+    /// A voter that lost its data folder votes again under its old name.
     ForgottenVote,
-    /// What a deposed leader proposed counts.
+    /// Proposals of a deposed leader are accepted.
     StaleReign,
-    /// A spoilt middle of the log is skipped.
+    /// Corruption in the middle of the log is skipped.
     SkipSpoilt,
-    /// A version of the rules is in force as soon as it is announced.
+    /// A version of the rules takes effect as soon as it is announced.
     ForceAtOnce,
-    /// A process counts its freshness from the receipt of the answer.
+    /// A process counts the freshness of its rules from the receipt of the answer.
     FreshFromReceipt,
-    /// A process never doubts its rules.
+    /// A process always treats its rules as fresh.
     FreshForGood,
     /// Neither the module nor the core answers a held request at its deadline.
     ForgottenDeadline,
-    /// A set-up whose connection was reset counts as one that never ran.
+    /// A set-up whose connection was reset counts as never executed.
     ResetNeverRan,
     /// A final answer is written twice.
     AnsweredTwice,
-    /// The floor of a class holds for the first attempt alone.
+    /// The minimum rung of a class applies to the first attempt only.
     FloorOfFirstAttempt,
-    /// A process that was told to end takes the time that its work needs.
+    /// A process in shutdown takes as long as its work needs.
     LateDoors,
-    /// The end of an attempt counts as written once it is queued.
+    /// The end of an attempt counts as written as soon as it is queued.
     QueuedIsWritten,
-    /// A notice board that failed is asked again late.
+    /// The reconnection to a failed notice board is late.
     LateRetry,
-    /// A connection that is let go is cut, and what waits there is dropped.
+    /// A connection that is closed gracefully is cut instead, and its pending output is dropped.
     CutAtClose,
 }
 
 impl Mutant {
-    /// All of them, with the names they go by.
+    /// All mutants with their names.
     pub const ALL: [(&'static str, Mutant); 23] = [
         ("no-drift", Mutant::NoDrift),
         ("from-receipt", Mutant::FromReceipt),
@@ -85,26 +86,26 @@
     static ACTIVE: std::cell::Cell<Option<Mutant>> = const { std::cell::Cell::new(None) };
 }
 
-/// Is wrong in one way from now on, on this thread.
+/// Activates a mutant on this thread, or none.
 #[cfg(feature = "trials")]
 pub fn set_active(mutant: Option<Mutant>) {
     ACTIVE.set(mutant);
 }
 
-/// The one that the environment names.
+/// Returns the mutant that the environment variable `AMBERSPINDLE_MUTANT` names.
 #[cfg(feature = "trials")]
 pub fn from_environment() -> Option<Mutant> {
     let name = std::env::var("AMBERSPINDLE_MUTANT").ok()?;
     Mutant::ALL.iter().find(|(known, _)| *known == name).map(|(_, mutant)| *mutant)
 }
 
-/// Whether things are to be done wrong in this way.
+/// Whether a mutant is active on this thread.
 #[cfg(feature = "trials")]
 pub fn is_active(mutant: Mutant) -> bool {
     ACTIVE.get() == Some(mutant)
 }
 
-/// Whether things are to be done wrong in this way: never.
+/// Whether a mutant is active on this thread: never.
 #[cfg(not(feature = "trials"))]
 #[inline(always)]
 pub fn is_active(_: Mutant) -> bool {
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,4 +1,4 @@
-//! Processes among each other: their names and runs, and moments on the clock of each machine.
+//! The identity of processes, each by its name and incarnation, and times of the boot clock of their machines.
 
 use std::fmt;
 
@@ -6,24 +6,24 @@
 
 use crate::api::Micros;
 
-/// A moment on the clock that runs since the machine started, also while it sleeps; in microseconds. Moments of
-/// two machines can't be compared.
+/// A time of the boot clock, in microseconds: the clock starts with the machine and also runs while that sleeps.
+/// Times of two machines can't be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BootTime(pub u64);
 
 impl BootTime {
-    /// The moment a span later.
+    /// Returns the time that is a span later.
     pub fn after(self, span: Micros) -> BootTime {
         BootTime(self.0.saturating_add(span.0))
     }
 
-    /// The span since an earlier moment; zero if that is later.
+    /// Returns the span since an earlier time; zero if that is later.
     pub fn since(self, earlier: BootTime) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
 }
 
-/// A process by the name in its file.
+/// The name of a process, as its configuration file gives it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Name(pub String);
 
@@ -33,15 +33,15 @@
     }
 }
 
-/// One run of a process: the Unix time of its start in microseconds, so that a later one is greater.
+/// One run of a process: the Unix time of its start in microseconds, so that a later run has a greater number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// A process in one of its runs. Leases belong to this, not to a name.
+/// A process in one of its runs. A lease belongs to this, not to the name alone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Process {
-    /// Its name.
+    /// The name of the process.
     pub name: Name,
-    /// Which run.
+    /// The run.
     pub incarnation: Incarnation,
 }
