--- a/tests/board.rs
+++ b/tests/board.rs
@@ -1,4 +1,4 @@
-//! The notice board without its socket: what counts as heard.
+//! The client of the notice board without its socket: which events count as applied.
 
 mod support;
 
@@ -7,83 +7,87 @@
 use amberspindle::roster::{ListUpdate, SettingNames};
 use serde_json::{Value, json};
 
-/// An event that tells of one server.
+/// Returns an event with one server.
 fn event(number: u64, all: bool, state: &str) -> Value {
     let server =
         json!({"uid": format!("s-{number}"), "endpoint": "127.0.0.1:9", "pod_group": 0, "state": state});
     json!({"rev": number, "pool": {"rev": number, "all": all, "targets": [server]}})
 }
 
-/// A board that has heard the first event.
+/// Returns a client that has applied the first event.
 fn board() -> BoardClient {
     let known = json!({"rev": 1, "notices": [event(1, true, "in_service")]});
-    let (board, news) = BoardClient::new(SettingNames::default(), &known);
-    assert_eq!((news.len(), board.last_event()), (1, 1));
+    let (board, updates) = BoardClient::new(SettingNames::default(), &known);
+    assert_eq!((updates.len(), board.last_event()), (1, 1));
     board
 }
 
-/// Asks the board anew and lets it say so much.
-fn hear(board: &mut BoardClient, body: &str) -> (Vec<String>, Result<(), BoardError>) {
-    let asked = String::from_utf8(board.request(Micros(0), "h")).unwrap();
-    assert!(asked.contains(&format!("Last-Event-ID: {}\r\n", board.last_event())));
+/// Reconnects and receives a response with this body.
+fn receive(board: &mut BoardClient, body: &str) -> (Vec<String>, Result<(), BoardError>) {
+    let request = String::from_utf8(board.request(Micros(0), "h")).unwrap();
+    assert!(request.contains(&format!("Last-Event-ID: {}\r\n", board.last_event())));
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n";
-    let mut news = Vec::new();
-    let read = board.receive(Micros(0), format!("{head}{body}").as_bytes(), &mut news);
-    let named =
-        |n: &ListUpdate| n.servers.iter().map(|s| s.entry.id.to_string()).collect::<Vec<_>>().join(",");
-    (news.iter().map(named).collect(), read)
+    let mut updates = Vec::new();
+    let read = board.receive(Micros(0), format!("{head}{body}").as_bytes(), &mut updates);
+    let ids = |n: &ListUpdate| n.servers.iter().map(|s| s.entry.id.to_string()).collect::<Vec<_>>().join(",");
+    (updates.iter().map(ids).collect(), read)
 }
 
 fn line(event: &Value) -> String {
     format!("id: {}\ndata: {event}\n\n", event["rev"])
 }
 
-/// Guards against an event that counts as heard before it could be read: its change was lost for good.
+/// Guards against an event that counts as applied before it could be read, so that its change is lost for good.
 #[test]
-fn a_broken_event_is_asked_for_again() {
+fn requests_a_malformed_event_again() {
     let mut board = board();
     let good = line(&event(2, false, "in_service"));
-    for broken in [
+    for malformed in [
         "id: 2\ndata: {\"rev\":2,\"pool\":{\"targets\":[\n\n".to_owned(),
         "id: 2\ndata: {\"rev\":2}\n\n".to_owned(),
         line(&event(2, false, "dancing")),
     ] {
-        let (news, read) = hear(&mut board, &format!("{broken}{}", line(&event(3, false, "in_service"))));
-        assert_eq!((news.len(), read, board.last_event()), (0, Err(BoardError::Unreadable), 1), "{broken}");
+        let (updates, read) =
+            receive(&mut board, &format!("{malformed}{}", line(&event(3, false, "in_service"))));
+        assert_eq!(
+            (updates.len(), read, board.last_event()),
+            (0, Err(BoardError::Unreadable), 1),
+            "{malformed}"
+        );
     }
-    // One that breaks off in its middle says nothing, and what came before it counts.
+    // An event that is cut off is ignored, and those before it are applied.
     let cut = line(&event(3, false, "terminating"));
-    let (news, read) = hear(&mut board, &format!("{good}{}", &cut[..cut.len() / 2]));
-    assert_eq!((news, read, board.last_event()), (vec!["s-2".to_owned()], Ok(()), 2));
+    let (updates, read) = receive(&mut board, &format!("{good}{}", &cut[..cut.len() / 2]));
+    assert_eq!((updates, read, board.last_event()), (vec!["s-2".to_owned()], Ok(()), 2));
 }
 
-/// Guards against an event that is never heard as a later one came first, and against one that is heard twice.
+/// Guards against an event that is lost because a later one arrived first, and against one that is applied twice.
 #[test]
-fn a_missing_event_is_asked_for_and_a_second_copy_is_no_news() {
+fn requests_a_missing_event_and_ignores_a_duplicate() {
     let mut board = board();
-    let [two, three, whole] =
+    let [two, three, complete] =
         [event(2, false, "in_service"), event(3, false, "in_service"), event(9, true, "in_service")];
-    let (news, read) = hear(&mut board, &line(&three));
-    assert_eq!((news.len(), read, board.last_event()), (0, Err(BoardError::Gap), 1));
+    let (updates, read) = receive(&mut board, &line(&three));
+    assert_eq!((updates.len(), read, board.last_event()), (0, Err(BoardError::Gap), 1));
     let body = [line(&two), line(&two), line(&three), line(&two)].concat();
-    assert_eq!(hear(&mut board, &body), (vec!["s-2".to_owned(), "s-3".to_owned()], Ok(())));
-    // A whole list makes up for what was missed.
-    assert_eq!(hear(&mut board, &line(&whole)), (vec!["s-9".to_owned()], Ok(())));
+    assert_eq!(receive(&mut board, &body), (vec!["s-2".to_owned(), "s-3".to_owned()], Ok(())));
+    // A complete list replaces the missed events.
+    assert_eq!(receive(&mut board, &line(&complete)), (vec!["s-9".to_owned()], Ok(())));
     assert_eq!(board.last_event(), 9);
 }
 
-/// Guards against a list that stands still for good, where a board never says better.
+/// Guards against a list that is never updated again because a board keeps sending a malformed event.
 #[test]
-fn a_board_that_stays_broken_is_taken_at_its_word_in_the_end() {
+fn skips_a_malformed_event_after_repeated_requests() {
     let mut board = board();
     let body = [line(&event(2, false, "dancing")), line(&event(5, false, "in_service"))].concat();
-    let tries = (1..10).find(|_| hear(&mut board, &body).1.is_ok());
+    let tries = (1..10).find(|_| receive(&mut board, &body).1.is_ok());
     assert!(tries.is_some_and(|n| n > 2), "{tries:?}");
     assert_eq!(board.last_event(), 5);
 }
 
 #[test]
-fn a_new_configuration_never_winds_the_list_back_or_leaps_over_an_event() {
+fn new_configuration_neither_reverts_the_list_nor_skips_an_event() {
     let mut board = board();
     let [old, next, far] =
         [event(1, true, "terminated"), event(2, false, "in_service"), event(4, false, "in_service")];
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -1,5 +1,5 @@
-//! The figures of the second address against a count of their own: every answer that clients saw, every set-up that
-//! servers saw.
+//! The metrics of the operator console, compared with the answers that clients received and the set-ups that servers
+//! received.
 
 mod support;
 
@@ -14,17 +14,17 @@
 fn vars(program: &Program) -> BTreeMap<String, u64> {
     let text = program.call("vars\n");
     let lines = text.strip_prefix("SUCCESS\n").and_then(|rest| rest.strip_suffix("EOT\n")).unwrap();
-    let read = |line: &str| {
-        let (name, figure) = line.split_once('=').unwrap();
-        (name.strip_prefix("broker.").unwrap().to_owned(), figure.parse().unwrap())
+    let parse = |line: &str| {
+        let (name, value) = line.split_once('=').unwrap();
+        (name.strip_prefix("broker.").unwrap().to_owned(), value.parse().unwrap())
     };
-    lines.lines().map(read).collect()
+    lines.lines().map(parse).collect()
 }
 
-/// Requests of a seeded run over servers that answer, are full and fail: each figure is what clients and
-/// servers saw. Those that are withdrawn while nothing was answered count as none.
+/// A seeded run of requests over servers that answer, are full or fail: each metric equals what clients and servers
+/// have received. A request that was withdrawn before its answer counts under no outcome.
 #[test]
-fn every_request_counts_once_and_every_attempt_that_a_server_saw() {
+fn counts_every_request_once_and_every_attempt_that_a_server_received() {
     let edges: Vec<Edge> = [EdgeBehaviour::Answers, EdgeBehaviour::Full, EdgeBehaviour::Fails]
         .into_iter()
         .map(Edge::start)
@@ -39,27 +39,27 @@
     assert_eq!(before["operations.paid.fulfilled"], 0);
     assert_eq!((before["registry_entries"], before["open_requests"]), (3, 0));
     let mut rng = fastrand::Rng::with_seed(20);
-    let mut seen: BTreeMap<String, u64> = BTreeMap::new();
-    let mut stands = 0;
-    let mut asked = Vec::new();
+    let mut expected: BTreeMap<String, u64> = BTreeMap::new();
+    let mut playing = 0;
+    let mut requests = Vec::new();
     for id in 1..=80_u64 {
         let class = if rng.bool() { "paid" } else { "clip" };
-        // At the end all are full: those are refused.
-        let manners = if id <= 60 {
+        // In the end all servers are full, so that the last requests are refused.
+        let behaviours = if id <= 60 {
             [EdgeBehaviour::Answers, EdgeBehaviour::Full, EdgeBehaviour::Fails]
         } else {
             [EdgeBehaviour::Full; 3]
         };
-        edges[rng.usize(0..3)].set_behaviour(manners[rng.usize(0..3)]);
+        edges[rng.usize(0..3)].set_behaviour(behaviours[rng.usize(0..3)]);
         if id == 61 {
             edges.iter().for_each(|edge| edge.set_behaviour(EdgeBehaviour::Full));
         }
         let mut stream = program.connect("viewer");
-        // Some ask for longer than any class waits: they fail at the door.
+        // Some have a longer deadline than any class allows and fail at once.
         send_set_up(&mut stream, id, class, if rng.usize(0..10) == 0 { 90_000 } else { 3_900 }, class);
-        asked.push((class, stream));
+        requests.push((class, stream));
     }
-    for (class, stream) in asked {
+    for (class, stream) in requests {
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line).unwrap();
         let answer: Value = serde_json::from_str(&line).unwrap();
@@ -68,37 +68,41 @@
             (_, Some(34 | 42 | 102)) => "throttled",
             _ => "faulted",
         };
-        stands += u64::from(outcome == "fulfilled");
-        *seen.entry(format!("operations.{class}.{outcome}")).or_default() += 1;
+        playing += u64::from(outcome == "fulfilled");
+        *expected.entry(format!("operations.{class}.{outcome}")).or_default() += 1;
     }
     for (_, class) in edges.iter().flat_map(Edge::set_ups) {
-        *seen.entry(format!("operations.{class}.relayed")).or_default() += 1;
+        *expected.entry(format!("operations.{class}.relayed")).or_default() += 1;
     }
-    let told = vars(&program);
-    for (name, figure) in &told {
+    let reported = vars(&program);
+    for (name, value) in &reported {
         if name.starts_with("operations.") {
-            assert_eq!(*figure, seen.get(name).copied().unwrap_or(0), "{name} of {told:?}, seen {seen:?}");
+            assert_eq!(
+                *value,
+                expected.get(name).copied().unwrap_or(0),
+                "{name} of {reported:?}, expected {expected:?}"
+            );
         }
     }
-    assert!(seen.values().filter(|n| **n > 0).count() >= 6, "all outcomes came about: {seen:?}");
-    assert_eq!(told["open_requests"], stands, "sessions that play have not ended");
+    assert!(expected.values().filter(|n| **n > 0).count() >= 6, "not all outcomes occurred: {expected:?}");
+    assert_eq!(reported["open_requests"], playing, "playing sessions count as open requests");
 }
 
 #[test]
-fn a_request_that_is_withdrawn_counts_as_none_and_its_attempt_counts() {
+fn withdrawn_request_counts_under_no_outcome_but_its_attempt_counts() {
     let edge = Edge::start(EdgeBehaviour::Silent);
-    let more = json!({"console": "127.0.0.1:0"});
+    let config = json!({"console": "127.0.0.1:0"});
     let program =
-        Program::platform_with_config(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
+        Program::platform_with_config(&[&edge], UNREACHED_DEADLINE_MS, &config, &["viewer", "console"]);
     let mut stream = program.connect("viewer");
     send_set_up(&mut stream, 1, "paid", 50_000, "paid");
     edge.wait_for_set_up(1);
     assert_eq!(vars(&program)["open_requests"], 1);
     drop(stream);
     edge.released(amberspindle::api::SessionId(1), 1);
-    let told = vars(&program);
-    assert_eq!(told["open_requests"], 0);
-    assert_eq!(told["operations.paid.relayed"], 1);
-    let answered = ["fulfilled", "throttled", "faulted"].map(|o| told[&format!("operations.paid.{o}")]);
-    assert_eq!(answered, [0, 0, 0]);
+    let reported = vars(&program);
+    assert_eq!(reported["open_requests"], 0);
+    assert_eq!(reported["operations.paid.relayed"], 1);
+    let outcomes = ["fulfilled", "throttled", "faulted"].map(|o| reported[&format!("operations.paid.{o}")]);
+    assert_eq!(outcomes, [0, 0, 0]);
 }
--- a/tests/operate.rs
+++ b/tests/operate.rs
@@ -1,4 +1,4 @@
-//! The second address and drains, over sockets.
+//! The operator console and drains, over sockets.
 
 mod support;
 
@@ -11,7 +11,7 @@
 
 const UNREACHED_DEADLINE_MS: f64 = 60_000.0;
 
-/// A program with a console, and what its environment adds.
+/// Starts a program with a console.
 fn start(edges: &[&Edge]) -> Program {
     Program::platform_with_config(
         edges,
@@ -30,18 +30,18 @@
 }
 
 #[test]
-fn calls_are_answered_beside_callers_that_say_nothing_and_callers_that_flood() {
+fn answers_calls_beside_hundreds_of_silent_callers() {
     let program = start(&[]);
     assert_eq!(program.call("check\n"), "SUCCESS ready\n");
     let unknown = "FAILURE unknown call; there are check, vars, drain-on, drain-off\n";
     assert_eq!(program.call("dance\n"), unknown);
-    let mut half = program.connect("console");
-    half.write_all(b"chec").unwrap();
-    half.shutdown(Shutdown::Write).unwrap();
+    let mut incomplete = program.connect("console");
+    incomplete.write_all(b"chec").unwrap();
+    incomplete.shutdown(Shutdown::Write).unwrap();
     let mut answer = String::new();
-    half.read_to_string(&mut answer).unwrap();
+    incomplete.read_to_string(&mut answer).unwrap();
     assert_eq!(answer, "FAILURE the line did not end\n");
-    // Five hundred that say nothing, a third of them in the middle of a word.
+    // Five hundred callers that send nothing or, a third of them, an incomplete call.
     let silent: Vec<TcpStream> = (0..500)
         .map(|n| {
             let mut stream = program.connect("console");
@@ -53,7 +53,7 @@
         .collect();
     assert_eq!(program.call("check\n"), "SUCCESS ready\n");
     assert!(program.call("vars\n").ends_with("EOT\n"));
-    // The first ones made room and were told so.
+    // The first callers were dropped to make room and got an answer that says so.
     let mut first = silent.into_iter().next().unwrap();
     let mut answer = String::new();
     let _ = first.read_to_string(&mut answer);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_drained_broker_says_no_ends_idle_connections_and_answers_what_is_under_way() {
+fn drained_broker_fails_checks_closes_idle_connections_and_answers_pending_requests() {
     let edge = Edge::start(EdgeBehaviour::Silent);
     let program = start(&[&edge]);
     assert_eq!(ping(&program)["cause"], 1);
@@ -74,20 +74,20 @@
     assert_eq!(program.call("drain-on\n"), "SUCCESS draining already\n");
     assert_eq!(program.call("check\n"), "FAILURE draining\n");
     assert_eq!(ping(&program)["cause"], 0);
-    // The idle one ends; the busy one once its session is over, of which its client hears there.
-    let mut said = String::new();
-    idle.read_to_string(&mut said).unwrap();
-    assert!(said.contains("\"pong\""));
+    // The idle connection is closed, the busy one only after its client has received the end of its session.
+    let mut received = String::new();
+    idle.read_to_string(&mut received).unwrap();
+    assert!(received.contains("\"pong\""));
     edge.send_answer(id);
     let mut lines = BufReader::new(busy);
-    let mut said = String::new();
-    lines.read_line(&mut said).unwrap();
-    assert!(said.contains("\"answer\""), "{said}");
+    let mut received = String::new();
+    lines.read_line(&mut received).unwrap();
+    assert!(received.contains("\"answer\""), "{received}");
     edge.say(release(id, 16));
-    let mut said = String::new();
-    lines.read_to_string(&mut said).unwrap();
-    assert!(said.contains("\"release\"") && said.lines().count() == 1, "{said}");
-    // Back to work.
+    let mut received = String::new();
+    lines.read_to_string(&mut received).unwrap();
+    assert!(received.contains("\"release\"") && received.lines().count() == 1, "{received}");
+    // The broker serves again.
     assert_eq!(program.call("drain-off\n"), "SUCCESS serving\n");
     assert_eq!(program.call("drain-off\n"), "SUCCESS was not draining\n");
     assert_eq!(program.call("check\n"), "SUCCESS ready\n");
@@ -101,26 +101,26 @@
     assert!(line.contains("\"answer\""));
 }
 
-/// Guards against a set-up that crosses the end of an idle connection and runs though its sender is not told.
+/// Guards against a set-up that crosses the close of an idle connection and runs although its sender gets no answer.
 #[test]
-fn what_crosses_the_end_of_a_connection_never_ran() {
+fn set_up_that_crosses_the_close_of_its_connection_never_runs() {
     let edge = Edge::start(EdgeBehaviour::Answers);
     let program = start(&[&edge]);
     let mut stream = program.connect("viewer");
     stream.write_all(b"{\"type\":\"ping\",\"id\":\"9b1f03aa5c7e2d41\",\"fields\":{},\"cause\":0}\n").unwrap();
     assert_eq!(program.call("drain-on\n"), "SUCCESS draining\n");
-    let mut said = String::new();
-    stream.read_to_string(&mut said).unwrap();
-    // The end was read: what is written now crosses it.
+    let mut received = String::new();
+    stream.read_to_string(&mut received).unwrap();
+    // The broker has closed its side, so the next set-up crosses the close.
     send_set_up(&mut stream, 0x9b1f03aa5c7e2d44, "paid", 50_000, "offer");
     program.wait_for_log("reason=draining");
     assert!(edge.set_ups().is_empty());
 }
 
-/// Seen on a day with a drain: the only connections that came were the front's tests, and the ends of sessions went
-/// out on those, where nobody hears them.
+/// Guards against the loss of session ends. During a drain the only new connections were health checks of the load
+/// balancer, and session ends were sent on those, where no client reads them.
 #[test]
-fn the_end_of_a_session_waits_for_a_viewers_connection_and_not_for_a_test() {
+fn session_end_is_sent_on_a_viewer_connection_and_not_on_a_health_check() {
     let edge = Edge::start(EdgeBehaviour::Answers);
     let program = start(&[&edge]);
     let mut viewer = program.connect("viewer");
@@ -129,29 +129,29 @@
     BufReader::new(viewer).read_line(&mut line).unwrap();
     assert!(line.contains("\"answer\""));
     program.wait_for_log("reason=end-of-stream");
-    let mut test = program.connect("viewer");
-    test.write_all(b"{\"type\":\"ping\",\"id\":\"9b1f03aa5c7e2d41\",\"fields\":{},\"cause\":0}\n").unwrap();
-    let mut test = BufReader::new(test);
-    test.read_line(&mut String::new()).unwrap();
+    let mut check = program.connect("viewer");
+    check.write_all(b"{\"type\":\"ping\",\"id\":\"9b1f03aa5c7e2d41\",\"fields\":{},\"cause\":0}\n").unwrap();
+    let mut check = BufReader::new(check);
+    check.read_line(&mut String::new()).unwrap();
     edge.say(release(edge.wait_for_set_up(1), 16));
     let mut other = program.connect("viewer");
     send_set_up(&mut other, 0x9b1f03aa5c7e2d46, "paid", 50_000, "offer");
     let mut lines = BufReader::new(other);
-    let mut said = [String::new(), String::new()];
-    said.iter_mut().for_each(|line| assert!(lines.read_line(line).unwrap() > 0));
+    let mut received = [String::new(), String::new()];
+    received.iter_mut().for_each(|line| assert!(lines.read_line(line).unwrap() > 0));
     assert!(
-        said.iter().any(|line| line.contains("9b1f03aa5c7e2d45") && line.contains("release")),
-        "{said:?}"
+        received.iter().any(|line| line.contains("9b1f03aa5c7e2d45") && line.contains("release")),
+        "{received:?}"
     );
-    // It was told there, and on no other.
+    // The end was sent on that connection alone.
     let mut rest = String::new();
-    test.read_to_string(&mut rest).unwrap();
+    check.read_to_string(&mut rest).unwrap();
     assert_eq!(rest, "");
 }
 
-/// Drains on and off in quick turns end in the last one's state, and an end of the process stays one.
+/// Drains that are switched on and off in quick succession end in the last state, and none revokes a shutdown.
 #[test]
-fn quick_turns_of_drains_and_an_end_in_the_middle() {
+fn quick_drain_toggles_keep_the_last_state_and_do_not_revoke_a_shutdown() {
     let program = start(&[]);
     for _ in 0..50 {
         assert_eq!(program.call("drain-on\n"), "SUCCESS draining\n");
@@ -163,30 +163,30 @@
     program.wait_for_log("stopping");
     assert_eq!(program.call("drain-off\n"), "SUCCESS serving\n");
     assert_eq!(program.call("check\n"), "FAILURE ending\n");
-    let begun = Instant::now();
+    let terminated_at = Instant::now();
     program.wait_for_log("stopped");
-    assert!(begun.elapsed() < Duration::from_secs(60));
+    assert!(terminated_at.elapsed() < Duration::from_secs(60));
 }
 
-/// Guards against a drain that clients without a pause put off for good (report c7ba89, related finds): 4 s after the
-/// call no connection may be held that brought a request in the last 2 s.
+/// Guards against a drain that clients which send without a pause defer for good (report c7ba89, related finds): 4 s
+/// after the call no connection may be open that carried a request in the last 2 s.
 #[test]
-fn a_drain_lets_a_connection_go_that_is_never_quiet() {
+fn drain_closes_a_connection_that_is_never_idle() {
     let edge = Edge::start(EdgeBehaviour::Answers);
-    let more = json!({"console": "127.0.0.1:0", "settings": settings(UNREACHED_DEADLINE_MS)});
+    let config = json!({"console": "127.0.0.1:0", "settings": settings(UNREACHED_DEADLINE_MS)});
     let program =
-        Program::platform_with_config(&[&edge], UNREACHED_DEADLINE_MS, &more, &["viewer", "console"]);
-    let asking = askers::RequestProfile {
+        Program::platform_with_config(&[&edge], UNREACHED_DEADLINE_MS, &config, &["viewer", "console"]);
+    let profile = askers::RequestProfile {
         class: "clip",
         deadline_ms: 2_000,
         pause: Duration::from_millis(20),
         extras: "home:0;copies:3;top:1",
     };
-    let askers = askers::Askers::start_once(program.fronts["viewer"], 4, &asking);
+    let askers = askers::Askers::start_once(program.fronts["viewer"], 4, &profile);
     std::thread::sleep(Duration::from_millis(300));
-    let called = Instant::now();
+    let called_at = Instant::now();
     assert!(program.call("drain-on\n").starts_with("SUCCESS"));
-    std::thread::sleep(Duration::from_secs(4) - called.elapsed());
+    std::thread::sleep(Duration::from_secs(4) - called_at.elapsed());
     assert_eq!(
         program.call("vars\n").lines().find(|l| l.contains("client_connections")),
         Some("broker.client_connections=0")
--- a/tests/planned_ends.rs
+++ b/tests/planned_ends.rs
@@ -1,5 +1,6 @@
-//! Planned ends while clients go on asking on open connections and a server hangs: a process has ended by itself, and
-//! each request that it took has its answer, before the earliest SIGKILL that the pages allow.
+//! Graceful shutdown while clients keep sending requests on open connections and a server hangs: the process exits by
+//! itself, with an answer to each request that it has accepted, before the earliest SIGKILL that the operators' pages
+//! allow.
 
 mod support;
 
@@ -11,25 +12,25 @@
 use support::versions::Platform;
 use support::*;
 
-/// A class's deadline in these tests.
+/// The deadline of a class in these tests.
 const DEADLINE_MS: u64 = 1_200;
-/// The pages' earliest SIGKILL behind SIGTERM: the longest deadline and this.
+/// By the operators' pages SIGKILL follows SIGTERM no sooner than after the longest deadline plus this margin.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// Time for which clients ask before the end begins.
+/// The time for which clients send requests before the shutdown begins.
 const WARM_UP_MS: u64 = 500;
-/// Clients that go on asking.
+/// The number of clients that keep sending requests.
 const CLIENTS: u64 = 12;
 
-fn earliest_kill(deadline_ms: u64, most_ms: u64) -> Duration {
-    Duration::from_millis(deadline_ms.min(most_ms)) + KILL_MARGIN
+fn earliest_kill(deadline_ms: u64, max_deadline_ms: u64) -> Duration {
+    Duration::from_millis(deadline_ms.min(max_deadline_ms)) + KILL_MARGIN
 }
 
-fn asking(class: &'static str) -> RequestProfile {
+fn profile(class: &'static str) -> RequestProfile {
     let pause = Duration::from_millis(40);
     RequestProfile { class, deadline_ms: DEADLINE_MS, pause, extras: "home:0;copies:3;top:1" }
 }
 
-/// Three servers of which one hangs.
+/// Starts three servers, of which one hangs.
 fn servers() -> [Edge; 3] {
     [
         Edge::start(EdgeBehaviour::Answers),
@@ -38,18 +39,18 @@
     ]
 }
 
-/// All servers hang from now on, so that no connection is ever quiet.
+/// Makes all servers hang, so that no connection is ever idle.
 fn hang(edges: &[Edge; 3]) {
     edges.iter().for_each(|edge| edge.set_behaviour(EdgeBehaviour::Silent));
 }
 
-fn started(edges: &[&Edge], deadline: f64) -> Program {
-    let more = json!({"console": "127.0.0.1:0", "settings": settings_with_spare_uplink(deadline)});
-    Program::platform_with_config(edges, deadline, &more, &["viewer", "console"])
+fn start(edges: &[&Edge], deadline: f64) -> Program {
+    let config = json!({"console": "127.0.0.1:0", "settings": settings_with_spare_uplink(deadline)});
+    Program::platform_with_config(edges, deadline, &config, &["viewer", "console"])
 }
 
-/// Waits for the end of a process until the moment at which it may be killed, then kills it; whether it ended by itself.
-fn ended_by(mut program: Program, kill_at: Instant) -> bool {
+/// Waits for the exit of a process until it may be killed, then kills it. Returns whether it exited by itself.
+fn exits_before(mut program: Program, kill_at: Instant) -> bool {
     while Instant::now() < kill_at {
         if program.has_ended() {
             return true;
@@ -60,95 +61,104 @@
     false
 }
 
-/// Seen with the report c7ba89: one request without an answer kept all connections open, and new requests were taken
-/// on them up to the kill.
+/// Guards against the fault of report c7ba89: one request without an answer kept all connections open, and new
+/// requests were accepted on them until the kill.
 #[test]
-fn a_process_with_steady_requests_has_answered_all_and_ended_before_the_kill() {
+fn answers_all_and_exits_before_the_kill_under_steady_requests() {
     for class in ["clip", "paid"] {
         let edges = servers();
-        let program = started(&[&edges[0], &edges[1], &edges[2]], DEADLINE_MS as f64);
-        let askers = Askers::start(program.fronts["viewer"], CLIENTS, &asking(class));
+        let program = start(&[&edges[0], &edges[1], &edges[2]], DEADLINE_MS as f64);
+        let askers = Askers::start(program.fronts["viewer"], CLIENTS, &profile(class));
         pass(WARM_UP_MS);
         hang(&edges);
         program.terminate();
         let kill_at = Instant::now() + earliest_kill(DEADLINE_MS, 3_000);
-        let ended = ended_by(program, kill_at);
-        let asked = askers.end();
-        let lost = lost(&asked, &edges.each_ref()).len();
-        assert!(ended && lost == 0, "{class}: ended by itself: {ended}, lost: {lost} of {}", asked.len());
-        assert!(asked.iter().all(|request| request.answers.len() <= 1), "none is answered twice");
+        let has_exited = exits_before(program, kill_at);
+        let requests = askers.end();
+        let lost = lost(&requests, &edges.each_ref()).len();
+        assert!(
+            has_exited && lost == 0,
+            "{class}: exited by itself: {has_exited}, lost: {lost} of {}",
+            requests.len()
+        );
+        assert!(requests.iter().all(|request| request.answers.len() <= 1), "a request was answered twice");
     }
 }
 
-/// The same with a new version that serves: what crosses the end of a connection is asked of that one.
+/// The same with a successor that serves: a request that crosses the close of a connection is sent again to that one.
 #[test]
-fn a_process_whose_heir_serves_has_answered_all_and_ended_before_the_kill() {
+fn answers_all_and_exits_before_the_kill_while_a_successor_serves() {
     for class in ["clip", "paid"] {
         let edges = servers();
         let listed = [&edges[0], &edges[1], &edges[2]];
         let platform = Platform::with(json!({"settings": settings_with_spare_uplink(DEADLINE_MS as f64)}));
         let old = platform.serving(&listed);
         let address = platform.socket.local_addr().unwrap();
-        let askers = Askers::start(address, CLIENTS, &asking(class));
+        let askers = Askers::start(address, CLIENTS, &profile(class));
         pass(WARM_UP_MS);
         hang(&edges);
         let new = platform.serving(&listed);
         old.terminate();
         let kill_at = Instant::now() + earliest_kill(DEADLINE_MS, 5_000);
-        let ended = ended_by(old, kill_at);
-        let asked = askers.end();
-        let lost = lost(&asked, &listed).len();
-        assert!(ended && lost == 0, "{class}: ended by itself: {ended}, lost: {lost} of {}", asked.len());
+        let has_exited = exits_before(old, kill_at);
+        let requests = askers.end();
+        let lost = lost(&requests, &listed).len();
+        assert!(
+            has_exited && lost == 0,
+            "{class}: exited by itself: {has_exited}, lost: {lost} of {}",
+            requests.len()
+        );
         if class == "paid" {
             let ran: Vec<String> = edges.iter().flat_map(|edge| edge.ran()).collect();
-            let twice =
-                asked.iter().filter(|r| ran.iter().filter(|o| **o == format!("offer {}", r.id)).count() > 1);
-            assert_eq!(twice.count(), 0, "a paid set-up reached servers by both processes");
+            let repeated = requests
+                .iter()
+                .filter(|r| ran.iter().filter(|o| **o == format!("offer {}", r.id)).count() > 1);
+            assert_eq!(repeated.count(), 0, "a paid set-up reached servers by both processes");
         }
         drop(new);
     }
 }
 
-/// A request that waits for a server waits no longer than its process lives.
+/// A request that waits for a server is answered before the process exits.
 #[test]
-fn what_waits_for_a_server_is_answered_before_the_kill() {
+fn answers_requests_that_wait_for_a_server_before_the_kill() {
     let deadline = 10_000;
     let edge = Edge::start(EdgeBehaviour::Silent);
-    let program = started(&[&edge], deadline as f64);
+    let program = start(&[&edge], deadline as f64);
     let mut client = program.connect("viewer");
     send_set_up(&mut client, 1, "clip", deadline, "offer");
     edge.wait_for_set_up(1);
     program.terminate();
     let kill_at = Instant::now() + earliest_kill(deadline, 3_000);
     let reader = std::thread::spawn(move || final_answer(&mut client, 1));
-    assert!(ended_by(program, kill_at), "it was alive at the kill");
+    assert!(exits_before(program, kill_at), "it was alive at the kill");
     let answer = reader.join().unwrap().expect("an answer before the end of the connection");
     assert_eq!(answer["type"], "release");
 }
 
-/// Clients and servers hear of the end of what plays when its process has to go.
+/// Clients and servers receive the end of the playing sessions when the process shuts down.
 #[test]
-fn what_plays_is_released_on_both_sides_before_the_kill() {
+fn releases_playing_sessions_towards_client_and_server_before_the_kill() {
     let edge = Edge::start(EdgeBehaviour::Answers);
-    let program = started(&[&edge], DEADLINE_MS as f64);
+    let program = start(&[&edge], DEADLINE_MS as f64);
     let mut client = program.connect("viewer");
     send_set_up(&mut client, 1, "paid", DEADLINE_MS, "offer");
     assert_eq!(final_answer(&mut client, 1).unwrap()["type"], "answer");
     program.terminate();
     let kill_at = Instant::now() + earliest_kill(DEADLINE_MS, 3_000);
     let reader = std::thread::spawn(move || line(&mut client));
-    assert!(ended_by(program, kill_at), "it was alive at the kill");
-    let over = reader.join().unwrap().expect("the session's end");
-    assert_eq!((&over["type"], &over["id"]), (&Value::from("release"), &Value::from("0000000000000001")));
+    assert!(exits_before(program, kill_at), "it was alive at the kill");
+    let end = reader.join().unwrap().expect("the session's end");
+    assert_eq!((&end["type"], &end["id"]), (&Value::from("release"), &Value::from("0000000000000001")));
     edge.released(amberspindle::api::SessionId(1), 1);
 }
 
-/// A second SIGTERM and new settings in between give a process no more time.
+/// A second SIGTERM and a reload in between don't defer the exit.
 #[test]
-fn further_signals_give_a_process_no_more_time() {
+fn further_signals_do_not_defer_the_exit() {
     let edges = servers();
-    let program = started(&[&edges[0], &edges[1], &edges[2]], DEADLINE_MS as f64);
-    let askers = Askers::start(program.fronts["viewer"], CLIENTS, &asking("clip"));
+    let program = start(&[&edges[0], &edges[1], &edges[2]], DEADLINE_MS as f64);
+    let askers = Askers::start(program.fronts["viewer"], CLIENTS, &profile("clip"));
     pass(WARM_UP_MS);
     hang(&edges);
     assert!(program.call("drain-on\n").starts_with("SUCCESS"));
@@ -158,18 +168,18 @@
     program.hang_up();
     pass(200);
     program.terminate();
-    assert!(ended_by(program, kill_at), "it was alive at the kill");
+    assert!(exits_before(program, kill_at), "it was alive at the kill");
     assert_eq!(lost(&askers.end(), &edges.each_ref()).len(), 0);
 }
 
-/// An heir that dies while the old process ends gives that one no more time: the kill comes all the same.
+/// A successor that dies while its predecessor shuts down doesn't defer the exit, as the kill comes at the same time.
 #[test]
-fn an_heir_that_dies_late_changes_nothing_about_the_end() {
+fn death_of_the_successor_does_not_defer_the_exit() {
     let edges = servers();
     let listed = [&edges[0], &edges[1], &edges[2]];
     let platform = Platform::with(json!({"settings": settings_with_spare_uplink(DEADLINE_MS as f64)}));
     let old = platform.serving(&listed);
-    let askers = Askers::start(platform.socket.local_addr().unwrap(), CLIENTS, &asking("paid"));
+    let askers = Askers::start(platform.socket.local_addr().unwrap(), CLIENTS, &profile("paid"));
     pass(WARM_UP_MS);
     hang(&edges);
     let new = platform.serving(&listed);
@@ -178,8 +188,8 @@
     let kill_at = Instant::now() + earliest_kill(DEADLINE_MS, 5_000);
     pass(400);
     drop(new.killed());
-    assert!(ended_by(old, kill_at), "it was alive at the kill");
+    assert!(exits_before(old, kill_at), "it was alive at the kill");
     let next = platform.serving(&listed);
-    // What the heir had taken went with it.
+    // The requests that the successor had accepted were lost with it, so none are checked.
     drop((askers.end(), next));
 }
