--- a/src/log.rs
+++ b/src/log.rs
@@ -1,5 +1,5 @@
-//! Structured logs on standard output: an event, its fields, and a time. As text a line reads `event field=value`
-//! or, where the event has words of its own, those words; as JSON a line is one object with `event` and fields.
+//! Structured logs on standard output. A text line reads `event field=value` or, if the event has a message, that
+//! message alone; a JSON line is one object with a time, `event` and the fields.
 
 use std::fmt;
 use std::io;
@@ -11,30 +11,30 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// How lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// Words and `field=value`.
+    /// Text with `field=value`.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// The text of a line.
+/// Collects the parts of a text line.
 #[derive(Default)]
-struct Line {
+struct LineVisitor {
     event: String,
-    words: String,
+    message: String,
     fields: String,
 }
 
-impl Visit for Line {
+impl Visit for LineVisitor {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         use fmt::Write as _;
-        // Writing to a text can't fail.
+        // Writing to a String can't fail.
         let _ = match field.name() {
-            "message" => write!(self.words, "{value:?}"),
+            "message" => write!(self.message, "{value:?}"),
             "event" => write!(self.event, "{value:?}"),
             name => write!(self.fields, " {name}={value:?}"),
         };
@@ -42,9 +42,9 @@
 
     fn record_str(&mut self, field: &Field, value: &str) {
         match field.name() {
-            "message" => self.words += value,
+            "message" => self.message += value,
             "event" => self.event += value,
-            // What holds a space is quoted, so that a line can be taken apart.
+            // Values with spaces, quotes or control characters are quoted, so that a line can be parsed.
             name if value.contains(|c: char| c == ' ' || c == '"' || c.is_control()) => {
                 self.fields += &format!(" {name}={value:?}")
             }
@@ -53,9 +53,10 @@
     }
 }
 
-struct Text;
+/// Formats events as text lines.
+struct TextFormat;
 
-impl<S, N> FormatEvent<S, N> for Text
+impl<S, N> FormatEvent<S, N> for TextFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -66,44 +67,44 @@
         mut writer: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        let mut line = Line::default();
+        let mut line = LineVisitor::default();
         event.record(&mut line);
-        if line.words.is_empty() {
+        if line.message.is_empty() {
             writeln!(writer, "{}{}", line.event, line.fields)
         } else {
-            writeln!(writer, "{}", line.words)
+            writeln!(writer, "{}", line.message)
         }
     }
 }
 
-/// The log in a form, written to a place.
-fn dispatch<W>(format: Format, to: W) -> tracing::Dispatch
+/// Returns a log with this format and output.
+fn dispatch<W>(format: Format, output: W) -> tracing::Dispatch
 where
     W: for<'a> tracing_subscriber::fmt::MakeWriter<'a> + Send + Sync + 'static,
 {
-    let layer = tracing_subscriber::fmt().with_writer(to).with_ansi(false).log_internal_errors(false);
+    let layer = tracing_subscriber::fmt().with_writer(output).with_ansi(false).log_internal_errors(false);
     match format {
-        Format::Text => layer.event_format(Text).finish().into(),
+        Format::Text => layer.event_format(TextFormat).finish().into(),
         Format::Json => {
             layer.json().flatten_event(true).with_target(false).with_current_span(false).finish().into()
         }
     }
 }
 
-/// Starts the log. A log that can't be written must not end the broker: what fails is dropped.
+/// Starts the log. Lines that can't be written are dropped, as a failing log must not end the broker.
 pub fn start(format: Format) {
-    // A second start, as in tests, leaves the first in place.
+    // A second start, as in tests, has no effect.
     let _ = tracing::dispatcher::set_global_default(dispatch(format, io::stdout));
 }
 
-/// A place in memory, for tests of what lines look like.
+/// A log output in memory, for tests of the format.
 #[cfg(test)]
 #[derive(Clone, Default)]
-pub(crate) struct Sink(std::sync::Arc<std::sync::Mutex<Vec<u8>>>);
+pub(crate) struct MemoryLog(std::sync::Arc<std::sync::Mutex<Vec<u8>>>);
 
 #[cfg(test)]
-impl Sink {
-    /// What was written.
+impl MemoryLog {
+    /// Returns the text that was written.
     pub(crate) fn text(&self) -> String {
         let bytes = self.0.lock().map(|bytes| bytes.clone()).unwrap_or_default();
         String::from_utf8_lossy(&bytes).into_owned()
@@ -111,7 +112,7 @@
 }
 
 #[cfg(test)]
-impl io::Write for Sink {
+impl io::Write for MemoryLog {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if let Ok(mut all) = self.0.lock() {
             all.extend_from_slice(bytes);
@@ -124,8 +125,8 @@
     }
 }
 
-/// Does something with the log going to a place in memory.
+/// Runs a function with the log written to memory.
 #[cfg(test)]
-pub(crate) fn to(format: Format, sink: Sink, act: impl FnOnce()) {
+pub(crate) fn with_output_to(format: Format, sink: MemoryLog, act: impl FnOnce()) {
     tracing::dispatcher::with_default(&dispatch(format, move || sink.clone()), act);
 }
--- a/src/module/brain/timers.rs
+++ b/src/module/brain/timers.rs
@@ -37,7 +37,7 @@
     /// Returns when a request that has no answer yet gets its final answer.
     fn answer_due_at(&self, s: &Session) -> Option<Micros> {
         match s.phase {
-            Phase::Held if mutant::on(Mutant::ForgottenDeadline) => None,
+            Phase::Held if mutant::is_active(Mutant::ForgottenDeadline) => None,
             // None of its attempts can begin any more.
             Phase::Held => Some(self.last_attempt_start(s)),
             Phase::Setup if s.withdrawing => Some(self.last_attempt_start(s)),
--- a/src/net/board.rs
+++ b/src/net/board.rs
@@ -26,7 +26,7 @@
             continue;
         };
         let log_end = |reason: &str| {
-            info!(event = "end", peer = %format_args!("board:{address}"), reason, last = shared.board.borrow().last());
+            info!(event = "end", peer = %format_args!("board:{address}"), reason, last_event = shared.board.borrow().last_event());
         };
         let address_changed = async {
             shared.board_address_changed.notified().await;
@@ -39,7 +39,7 @@
                 Ok(reason) => log_end(reason),
                 Err(error) => log_end(error_code(&error)),
             }
-            let retry = if mutant::on(Mutant::LateRetry) { LATE_RETRY } else { board::RETRY };
+            let retry = if mutant::is_active(Mutant::LateRetry) { LATE_RETRY } else { board::RETRY_DELAY };
             Timer::after(to_duration(retry)).await;
         };
         // A new address is used at once, also during a connection attempt or the wait before the next one.
@@ -58,23 +58,23 @@
     .await?;
     let stream = Rc::new(connected);
     let request = shared.board.borrow_mut().request(shared.now(), &address.to_string());
-    with_timeout(to_duration(board::SILENCE), (&*stream).write_all(&request)).await?;
+    with_timeout(to_duration(board::SILENCE_TIMEOUT), (&*stream).write_all(&request)).await?;
     shared.board_end_reason.set(None);
     *shared.board_stream.borrow_mut() = Some(stream.clone());
     loop {
         // The timeout is for a complete message. It is also extended by messages that were read before a set-up was
         // sent, not only by those that were read here.
-        let until = shared.board.borrow().awaited_until();
+        let until = shared.board.borrow().deadline();
         match with_timeout(to_duration(until - shared.now()), stream.readable()).await {
             Ok(()) => {}
-            Err(_) if shared.board.borrow().awaited_until() > until => {}
+            Err(_) if shared.board.borrow().deadline() > until => {}
             Err(error) => return Err(error),
         }
         deliver_available(shared);
         if let Some(reason) = shared.board_end_reason.take() {
             return Ok(reason);
         }
-        if shared.now() >= shared.board.borrow().awaited_until() {
+        if shared.now() >= shared.board.borrow().deadline() {
             return Err(io::ErrorKind::TimedOut.into());
         }
     }
@@ -95,10 +95,10 @@
     }
 }
 
-/// Parses bytes from the board and offers the server lists that they complete to the roster.
-fn deliver(shared: &Handle, bytes: &[u8]) -> Result<(), BoardError> {
+/// Parses receive from the board and offers the server lists that they complete to the roster.
+fn deliver(shared: &Handle, receive: &[u8]) -> Result<(), BoardError> {
     let mut updates = Vec::new();
-    let read = shared.board.borrow_mut().bytes(shared.now(), bytes, &mut updates);
+    let read = shared.board.borrow_mut().receive(shared.now(), receive, &mut updates);
     for update in updates {
         files::offer(shared, Source::Board, update);
     }
--- a/src/net/console.rs
+++ b/src/net/console.rs
@@ -16,7 +16,7 @@
 use super::reading::{error_code, with_timeout};
 use super::room::ROOM_POLL_INTERVAL;
 use super::{Handle, step, to_duration};
-use crate::operate::console::{BadCall, CALL_TIMEOUT, Call, CallerId, Callers, Line};
+use crate::operate::console::{BadCall, CALL_TIMEOUT, Call, CallReader, CallerId, Callers};
 
 /// The time between checks whether a console connection has freed its descriptor.
 const DESCRIPTOR_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -29,7 +29,7 @@
 
 /// Reads until a call is complete.
 async fn read_call(shared: &Handle, stream: &Async<TcpStream>) -> Result<Call, BadCall> {
-    let mut line = Line::default();
+    let mut line = CallReader::default();
     loop {
         let read = stream.read_with(|mut s| {
             let mut buffer = shared.read_buffer.borrow_mut();
@@ -62,7 +62,7 @@
     let call = future::or(read_call(&shared, &stream), future::or(evicted_call, late_call)).await;
     {
         let mut table = table.borrow_mut();
-        table.callers.left(id);
+        table.callers.remove(id);
         table.evictions.remove(&id);
     }
     let answer = step(&shared, |node, now, _| node.call(now, call));
@@ -103,7 +103,7 @@
         let evicted = Rc::new(Notify::default());
         let id = {
             let mut table = table.borrow_mut();
-            let (id, oldest) = table.callers.come();
+            let (id, oldest) = table.callers.admit();
             if let Some(evicted) = oldest.and_then(|oldest| table.evictions.remove(&oldest)) {
                 evicted.notify();
             }
--- a/src/net/ending.rs
+++ b/src/net/ending.rs
@@ -44,7 +44,7 @@
             playing,
             connections: shared.client_count.get(),
             unheard_ends: unheard_ends + usize::from(registered),
-            accepting: self.accept_tasks.iter().any(|task| !task.is_finished()),
+            has_queued_connections: self.accept_tasks.iter().any(|task| !task.is_finished()),
             successor_serves: self.handover.as_ref().is_some_and(|handover| handover.has_yielded()),
         }
     }
@@ -68,7 +68,7 @@
             answer_by = plan.answer_by();
             step(shared, |node, now, out| node.set_shutdown_deadline(now, answer_by, out));
         }
-        while let Some(next) = plan.next(shared.now(), shutdown.remaining_work(shared)) {
+        while let Some(next_step) = plan.next_step(shared.now(), shutdown.remaining_work(shared)) {
             let left_ms = (plan.kill_at() - shared.now()).0 / 1000;
             info!(event = "ending.step", step = ?next, left_ms);
             match next {
--- a/src/net/handover/meeting.rs
+++ b/src/net/handover/meeting.rs
@@ -16,7 +16,7 @@
 use crate::net::outbox::Outbox;
 use crate::net::reading::{READ_BUFFER_BYTES, error_code, with_timeout};
 use crate::operate::handover::giver::TakeoverConn;
-use crate::operate::handover::{Message, Reader};
+use crate::operate::handover::{Message, MessageReader};
 
 /// Returns the path of the socket at which the processes of one broker meet. The broker's name in it is limited to 24
 /// characters, as the system limits the length of a socket's path; a digest keeps the path unique.
@@ -55,7 +55,7 @@
     mut handle: impl FnMut(Message),
 ) -> &'static str {
     let read = async {
-        let (mut reader, mut buffer) = (Reader::default(), vec![0; READ_BUFFER_BYTES]);
+        let (mut reader, mut buffer) = (MessageReader::default(), vec![0; READ_BUFFER_BYTES]);
         loop {
             match stream.read_with(|mut s| s.read(&mut buffer)).await {
                 Ok(0) => return "end-of-stream",
@@ -125,12 +125,12 @@
         let exchange = async move {
             let handle = |message| {
                 handover
-                    .as_predecessor(&shared, |predecessor, out| predecessor.heard(takeover, &message, out))
+                    .as_predecessor(&shared, |predecessor, out| predecessor.handle_message(takeover, &message, out))
             };
             let reason = exchange_messages(&stream, &outbox, handle).await;
             handover.takeovers.borrow_mut().remove(&takeover);
             info!(event = "end", peer = "new process", reason);
-            handover.as_predecessor(&shared, |predecessor, out| predecessor.ended(takeover, out));
+            handover.as_predecessor(&shared, |predecessor, out| predecessor.connection_ended(takeover, out));
         };
         executor.spawn(exchange).detach();
     }
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -70,7 +70,7 @@
                 (Some(outbox), message) => outbox.push(encode(&message), None),
                 (None, Message::Left { id }) => {
                     let now = shared.now();
-                    self.as_successor(shared, |successor, out| successor.left(now, id, out));
+                    self.as_successor(shared, |successor, out| successor.client_left(now, id, out));
                 }
                 _ => {}
             }
@@ -93,18 +93,18 @@
                     self.gate.set(true);
                     listen(shared, self);
                 }
-                giver::Action::Say(to, message) => {
+                giver::Action::Send(to, message) => {
                     if let Some(outbox) = self.takeovers.borrow().get(&to) {
                         outbox.push(encode(&message), None);
                     }
                 }
-                giver::Action::Left(id) => {
+                giver::Action::ClientLeft(id) => {
                     step(shared, |node, now, out| node.client_left_at_peer(now, id, out))
                 }
-                giver::Action::Look => {
+                giver::Action::ProbeSocket => {
                     shared.executor.spawn(check_for_other_process(shared.clone(), self.clone())).detach()
                 }
-                giver::Action::Leave => self.finished.notify(),
+                giver::Action::Exit => self.finished.notify(),
             }
         }
     }
@@ -118,21 +118,23 @@
                     self.gate.set(true);
                     info!(event = "serves");
                 }
-                heir::Action::Meet => listen(shared, self),
-                heir::Action::Leave => self.finished.notify(),
-                heir::Action::AskAgain => self.ask_again.notify(),
-                heir::Action::TakeTurns => step(shared, |node, now, out| node.take_warm_up_turns(now, out)),
-                heir::Action::Take(passed) => {
+                heir::Action::Listen => listen(shared, self),
+                heir::Action::Exit => self.finished.notify(),
+                heir::Action::Reconnect => self.ask_again.notify(),
+                heir::Action::TakeWarmUpTurns => {
+                    step(shared, |node, now, out| node.take_warm_up_turns(now, out))
+                }
+                heir::Action::AdoptSession(passed) => {
                     step(shared, |node, now, out| node.adopt_session(now, &passed, out))
                 }
-                heir::Action::TakeEnded(passed) => step(shared, |node, now, out| {
+                heir::Action::AdoptEndedSession(passed) => step(shared, |node, now, out| {
                     node.adopt_session(now, &passed, out);
                     node.client_left_at_peer(now, passed.id, out);
                 }),
-                heir::Action::Told(message) => {
+                heir::Action::HandleForwarded(message) => {
                     step(shared, |node, now, out| node.handle_forwarded(now, &message, out))
                 }
-                heir::Action::Say(message) => {
+                heir::Action::Send(message) => {
                     if let Some(outbox) = &*self.predecessor_outbox.borrow() {
                         outbox.push(encode(&message), None);
                     }
@@ -175,7 +177,7 @@
         // death of its successor.
         let relays = handover.predecessor_outbox.borrow().is_some();
         let is_needed = unwritten || relays || shared.node.borrow().has_waiting_clients();
-        handover.as_predecessor(&shared, |predecessor, out| predecessor.holds(is_needed, out));
+        handover.as_predecessor(&shared, |predecessor, out| predecessor.update_pending_work(is_needed, out));
         Timer::after(POLL_INTERVAL).await;
     }
 }
@@ -186,7 +188,7 @@
     let own = handover.own_socket.get();
     let is_own = || own.is_some() && FileId::of(&handover.socket_path).ok() == own;
     let no_other = is_own() || matches!(try_connect(&handover.socket_path).await, Ok(None));
-    handover.as_predecessor(&shared, |predecessor, out| predecessor.looked(!no_other, out));
+    handover.as_predecessor(&shared, |predecessor, out| predecessor.socket_probed(!no_other, out));
 }
 
 /// Starts the hand-over: asks the process before this one to let this one take over, if there is one.
@@ -208,7 +210,7 @@
         loop {
             let stream = match try_connect(&handover.socket_path).await {
                 Ok(Some(stream)) => stream,
-                Ok(None) => return handover.as_successor(&shared, Successor::alone),
+                Ok(None) => return handover.as_successor(&shared, Successor::no_predecessor),
                 Err(_) => {
                     Timer::after(RETRY_INTERVAL).await;
                     continue;
@@ -216,13 +218,13 @@
             };
             let outbox = Rc::new(Outbox::new(&shared.queue_limits.servers));
             *handover.predecessor_outbox.borrow_mut() = Some(outbox.clone());
-            handover.as_successor(&shared, Successor::linked);
+            handover.as_successor(&shared, Successor::connected);
             let exchange = async {
                 let handle =
-                    |message| handover.as_successor(&shared, |successor, out| successor.heard(message, out));
+                    |message| handover.as_successor(&shared, |successor, out| successor.handle_message(message, out));
                 let reason = exchange_messages(&stream, &outbox, handle).await;
                 info!(event = "end", peer = "old process", reason);
-                handover.as_successor(&shared, Successor::ended);
+                handover.as_successor(&shared, Successor::connection_ended);
                 false
             };
             let told_to_ask_again = async {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -38,7 +38,7 @@
 use tracing::info;
 
 use crate::api::{Micros, SessionId};
-use crate::board::Board;
+use crate::board::BoardClient;
 use crate::config::Config;
 use crate::mutant::{self, Mutant};
 use crate::node::Node;
@@ -67,7 +67,7 @@
     alarm_changed: Notify,
     /// One read buffer serves all connections: nothing else runs between a read and the step that uses its bytes.
     read_buffer: RefCell<Vec<u8>>,
-    board: RefCell<Board>,
+    board: RefCell<BoardClient>,
     roster: RefCell<Roster>,
     /// Notified when the server list has changed, or when a list is held back.
     list_changed: Notify,
@@ -98,8 +98,8 @@
 }
 
 impl Shared {
-    fn new(config: &Config, board: Board) -> Handle {
-        // Only lists from watched files are held back, so without a watch the limit is never reached.
+    fn new(config: &Config, board: BoardClient) -> Handle {
+        // Only lists from watched files are ever held back.
         let never = ShrinkLimit { most_dropped: 1.0, hold: Micros(0) };
         let shrink_limit = config.watch.as_ref().map_or(never, |w| w.plausible);
         let (node, budget) = (Node::new(config), DescriptorBudget::new(config.sockets));
@@ -189,7 +189,7 @@
                 }
             }
             Command::CloseIfQuiet(conn, reason) => match shared.outboxes.borrow().get(&conn) {
-                Some(outbox) if mutant::on(Mutant::CutAtClose) => outbox.abort(reason),
+                Some(outbox) if mutant::is_active(Mutant::CutAtClose) => outbox.abort(reason),
                 Some(outbox) => outbox.close_if_quiet(reason),
                 None => {}
             },
--- a/src/net/quorum.rs
+++ b/src/net/quorum.rs
@@ -217,7 +217,7 @@
     on_rules: Box<dyn Fn(LocalRules)>,
 ) -> io::Result<Rc<Quorum>> {
     #[cfg(feature = "trials")]
-    mutant::choose(mutant::of_environment());
+    mutant::set_active(mutant::from_environment());
     let (input_sender, input_receiver) = async_channel::unbounded::<Input>();
     let mut opened = None;
     let mut journal = None;
@@ -397,7 +397,7 @@
 /// Runs the record's thread.
 fn write_record(folder: &Path, work: &async_channel::Receiver<Job>, answers: &async_channel::Sender<Input>) {
     #[cfg(feature = "trials")]
-    mutant::choose(mutant::of_environment());
+    mutant::set_active(mutant::from_environment());
     while let Ok(job) = work.recv_blocking() {
         faults::stop_at("record.queued");
         let epoch = job.epoch;
--- a/src/net/run.rs
+++ b/src/net/run.rs
@@ -21,7 +21,7 @@
 use super::registry::run_registry;
 use super::signals::{complete_list, handle_signals};
 use super::{Handle, Shared, files, handover, inherit, quorum, run_timers, step};
-use crate::board::Board;
+use crate::board::BoardClient;
 use crate::config::Config;
 use crate::eureka::Eureka;
 use crate::node::Protocol;
@@ -160,9 +160,9 @@
     read_config: impl Fn() -> Result<Config, Findings> + 'static,
 ) -> io::Result<()> {
     #[cfg(feature = "trials")]
-    crate::mutant::choose(crate::mutant::of_environment());
+    crate::mutant::set_active(crate::mutant::from_environment());
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
-    let (board, known) = Board::new(config.names.clone(), &config.known);
+    let (board, known) = BoardClient::new(config.names.clone(), &config.known);
     let shared = Shared::new(config, board);
     shared.node.borrow_mut().trace(max_trace_lines_per_s);
     let watched = start_discovery(&shared, config, known);
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -10,9 +10,9 @@
 use super::outbox::Notify;
 use super::{Handle, files, quorum, step};
 use crate::api::ListKind;
-use crate::board::Board;
+use crate::board::BoardClient;
 use crate::config::Config;
-use crate::operate::settings::missing;
+use crate::operate::settings::missing_key;
 use crate::records::Findings;
 use crate::roster::{ListUpdate, ListedServer, Source};
 
@@ -31,20 +31,20 @@
         }
     };
     // A file that lacks a field that the one in force has may be incomplete: nothing of it is applied.
-    if let Some(field) = missing(&old.raw, &new.raw).filter(|_| !old.raw.is_null()) {
+    if let Some(field) = missing_key(&old.raw, &new.raw).filter(|_| !old.raw.is_null()) {
         shared.node.borrow_mut().record_reload(false);
-        return warn!(event = "reload refused", problem = %format_args!("{field}: missing, but set in the configuration in force"));
+        return warn!(event = "reload refused", problem = %format_args!("{field}: missing_key, but set in the configuration in force"));
     }
     let mut unchangeable = old.fixed(&new);
     unchangeable.extend(step(shared, |node, now, out| node.reload(now, &new, out)));
     for field in &unchangeable {
         warn!(event = "reload", field, "reload {field}: changed, waits for the next start");
     }
-    let updates = if new.board.is_some() || new.known == old.known {
-        shared.board.borrow_mut().known(&new.known)
+    let updates = if new.board.is_some() || new.apply_known == old.apply_known {
+        shared.board.borrow_mut().apply_known(&new.apply_known)
     } else {
-        // A list from the configuration alone has no event numbers: it replaces the whole list.
-        Board::new(old.names.clone(), &new.known).1
+        // A list without a board has no numbers: it is taken as a whole.
+        BoardClient::new(old.names.clone(), &new.known).1
     };
     let timings = shared.node.borrow().timings();
     shared.timings.set(timings);
@@ -59,7 +59,7 @@
     }
     (old.board, old.known, old.servers, old.raw) = (new.board, new.known, new.servers, new.raw);
     shared.node.borrow_mut().record_reload(true);
-    info!(event = "reloaded", last = shared.board.borrow().last());
+    info!(event = "reloaded", last_event = shared.board.borrow().last_event());
 }
 
 /// Handles signals for as long as the process runs: SIGHUP reloads, any other signal requests the shutdown.
--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -19,13 +19,13 @@
         offer: Description,
         out: &mut Vec<Command>,
     ) {
-        self.metrics.asked(request.id, name_at(&self.names.classes, request.class));
+        self.metrics.record_request(request.id, name_at(&self.names.classes, request.class));
         if let Some(tracer) = &mut self.tracer {
             let most = self.settings.classes.get(request.class).map_or(Rung(0), |class| class.top);
             let class = (name_at(&self.names.classes, request.class), most);
-            tracer.asked(now, &request, class, name_at(&self.names.tenants, request.tenant));
+            tracer.request_received(now, &request, class, name_at(&self.names.tenants, request.tenant));
         }
-        if self.phase.turns_away(now) {
+        if self.phase.rejects_requests(now) {
             // Nothing was sent to a server, and this process ends or drains: another process can take the
             // request.
             return self.apply_effect(now, Effect::Refused(request.id, Micros(0)), out);
@@ -78,10 +78,10 @@
     /// Passes an input to the core and carries out the effects.
     pub(super) fn handle_input(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
         if let Input::ClientLeft(id) = &input {
-            self.metrics.left(*id);
+            self.metrics.record_withdrawal(*id);
         }
         if let Some(tracer) = &mut self.tracer {
-            tracer.told(now, &input);
+            tracer.record_input(now, &input);
         }
         let mut effects = Vec::new();
         self.broker.handle(now, input, &mut effects);
@@ -94,20 +94,20 @@
     pub(super) fn apply_effect(&mut self, now: Micros, effect: Effect, out: &mut Vec<Command>) {
         self.report_outcome(&effect);
         if let Some(tracer) = &mut self.tracer {
-            tracer.decided(now, &effect);
+            tracer.record_effect(now, &effect);
         }
         match &effect {
             Effect::Refused(id, _) => {
                 self.refusals += 1;
-                self.metrics.answered(*id, Outcome::Throttled);
+                self.metrics.record_answer(*id, Outcome::Throttled);
             }
-            Effect::Failed(id, _) => self.metrics.answered(*id, Outcome::Faulted),
+            Effect::Failed(id, _) => self.metrics.record_answer(*id, Outcome::Faulted),
             Effect::SetUp(_) => self.attempts += 1,
             _ => {}
         }
         match effect {
             Effect::Established(id, answer) if self.is_whip_session(id) => {
-                self.metrics.answered(id, Outcome::Fulfilled);
+                self.metrics.record_answer(id, Outcome::Fulfilled);
                 let ice = self.pool.ice(id).to_vec();
                 self.with_whip(now, out, |whip, _, actions| whip.plays(now, id, answer, ice, actions));
                 self.with_whip(now, out, |whip, nothing_ran, actions| {
@@ -151,14 +151,14 @@
                 let line = std::str::from_utf8(&description).ok().map(|text| viewer::answer(id, text));
                 match line.filter(|line| line.encode().is_ok()) {
                     Some(line) => {
-                        self.metrics.answered(id, Outcome::Fulfilled);
+                        self.metrics.record_answer(id, Outcome::Fulfilled);
                         self.send_final_answer(now, client_conn, id, &FinalAnswer::Established(line), out);
-                        if self.phase.yielded() {
+                        if self.phase.has_yielded() {
                             self.hand_over_session(now, id, out);
                         }
                     }
                     None => {
-                        self.metrics.answered(id, Outcome::Faulted);
+                        self.metrics.record_answer(id, Outcome::Faulted);
                         // A description that can't be passed on unchanged is not passed on.
                         self.send_final_answer(
                             now,
--- a/src/node/ending.rs
+++ b/src/node/ending.rs
@@ -43,7 +43,7 @@
     /// Takes no more warm-up turns: they belong to the next process, which may have the same broker index and
     /// start at once.
     pub fn stop(&mut self, now: Micros, out: &mut Vec<Command>) {
-        self.phase.end();
+        self.phase.begin_shutdown();
         self.handle_input(now, Input::WarmUpTurnsFrom(Micros::MAX), out);
         if let Some(whip) = &mut self.whip {
             whip.keep(false);
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -5,14 +5,14 @@
 use crate::api::*;
 use crate::broker::{Effect, Input};
 use crate::operate::handover::{
-    Message, SessionTransfer, note_number, numbered_note, status_word, worded_status,
+    Message, SessionTransfer, decode_note, encode_note, parse_status, status_name,
 };
 use crate::platform::links::{Command, ServerMessage, release_status};
 
 impl Node {
     /// Marks this process as not serving until its predecessor, if there is one, has yielded.
     pub fn await_predecessor(&mut self) {
-        self.phase.start();
+        self.phase.await_predecessor();
     }
 
     /// The number of sessions that the memory allows.
@@ -22,7 +22,7 @@
 
     /// Starts to serve.
     pub fn start_serving(&mut self) {
-        self.phase.serve();
+        self.phase.start_serving();
     }
 
     /// Takes the warm-up turns at servers that begin from now on.
@@ -33,7 +33,7 @@
     /// Yields to the next process: takes no more warm-up turns, hands over the established sessions, and
     /// closes client connections.
     pub fn yield_to_successor(&mut self, now: Micros, out: &mut Vec<Command>) {
-        self.phase.yields();
+        self.phase.yield_to_successor();
         self.next_drain_check = now;
         self.handle_input(now, Input::WarmUpTurnsFrom(Micros::MAX), out);
         let established: Vec<SessionId> = self.broker.established_ids();
@@ -47,8 +47,8 @@
     /// begin from now on belong to this one, even if it was told to end: the next process asks it at the
     /// meeting point before it serves.
     pub fn resume_serving(&mut self, now: Micros, out: &mut Vec<Command>) {
-        self.phase.resumes();
-        self.next_drain_check = self.phase.lets_go_from().unwrap_or(Micros::MAX);
+        self.phase.resume_serving();
+        self.next_drain_check = self.phase.closes_connections_from().unwrap_or(Micros::MAX);
         self.handed_over.clear();
         self.handle_input(now, Input::WarmUpTurnsFrom(now), out);
     }
@@ -88,7 +88,7 @@
             );
         }
         // A newer process serves already: the session goes on to that one.
-        if self.phase.yielded() {
+        if self.phase.has_yielded() {
             return self.hand_over_session(now, id, out);
         }
         let before = out.len();
@@ -106,12 +106,12 @@
         }
         match message {
             Message::Over { id, server, how } => {
-                let (server, status) = (ServerId::new(server), worded_status(how));
+                let (server, status) = (ServerId::new(server), parse_status(how));
                 let load = Load::default();
                 self.handle_input(now, Input::Ended { id: SessionId(*id), server, status, load }, out);
             }
             Message::Noted { id, server, note, figure } => {
-                if let Some(note) = numbered_note(*note, *figure) {
+                if let Some(note) = decode_note(*note, *figure) {
                     let server = ServerId::new(server);
                     self.handle_input(now, Input::Note { id: SessionId(*id), server, note }, out);
                 }
@@ -169,11 +169,11 @@
         let Some(server) = self.handed_over.get(&id).map(|server| server.0.to_string()) else { return false };
         let message = match said {
             ServerMessage::Release(id, cause, _) => {
-                let how = status_word(release_status(*cause, true)).to_owned();
+                let how = status_name(release_status(*cause, true)).to_owned();
                 Message::Over { id: id.0, server, how }
             }
             ServerMessage::Note(id, note) => {
-                let (note, figure) = note_number(*note);
+                let (note, figure) = encode_note(*note);
                 Message::Noted { id: id.0, server, note, figure }
             }
             ServerMessage::Answer(..) => return false,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -156,7 +156,7 @@
 
     /// Returns the trace events since the last call, each with its time.
     pub fn take_trace(&mut self) -> Vec<(Micros, Traced)> {
-        self.tracer.as_mut().map(Tracer::take).unwrap_or_default()
+        self.tracer.as_mut().map(Tracer::take_events).unwrap_or_default()
     }
 
     /// Returns the number of unanswered requests and the number of established sessions.
--- a/src/node/operate.rs
+++ b/src/node/operate.rs
@@ -16,14 +16,14 @@
     /// Answers a console call, or an invalid one.
     pub fn call(&mut self, now: Micros, call: Result<Call, BadCall>) -> String {
         let answer = match call {
-            Ok(Call::Check) => match self.phase.unready(now) {
+            Ok(Call::Check) => match self.phase.unready_reason(now) {
                 None => Answer::Success("ready"),
-                Some(why) => Answer::Failure(why.word().to_owned()),
+                Some(why) => Answer::Failure(why.text().to_owned()),
             },
             Ok(Call::Vars) => Answer::Metrics(self.read_metrics(now)),
             Ok(Call::DrainOn) => {
                 let new = self.phase.drain(now);
-                self.next_drain_check = self.phase.lets_go_from().unwrap_or(Micros::MAX);
+                self.next_drain_check = self.phase.closes_connections_from().unwrap_or(Micros::MAX);
                 if let Some(whip) = &mut self.whip {
                     whip.keep(false);
                 }
@@ -32,7 +32,7 @@
             Ok(Call::DrainOff) => {
                 let over = self.phase.undrain();
                 self.next_drain_check = Micros::MAX;
-                if let Some(whip) = self.whip.as_mut().filter(|_| self.phase.unready(now).is_none()) {
+                if let Some(whip) = self.whip.as_mut().filter(|_| self.phase.unready_reason(now).is_none()) {
                     whip.keep(true);
                 }
                 Answer::Success(if over { "serving" } else { "was not draining" })
@@ -44,7 +44,7 @@
 
     /// Returns the current metrics as text.
     fn read_metrics(&mut self, now: Micros) -> String {
-        self.metrics.classes(&self.names.classes);
+        self.metrics.register_classes(&self.names.register_classes);
         // A playing session counts as an open request, as it has not ended.
         let remaining = self.remaining();
         let gauges = Gauges {
@@ -55,14 +55,14 @@
             registry_entries: self.servers.len(),
             out_of_rotation: self.broker.out_of_rotation(now),
         };
-        self.metrics.lines(gauges)
+        self.metrics.render(gauges)
     }
 
     /// Records that everything marked with these sessions was written: attempts on a server connection,
     /// answers on a client connection.
     pub fn record_fully_written(&mut self, now: Micros, conn: ConnId, marked: &[SessionId]) {
         if self.links.has(conn) || self.pool.has(conn) {
-            marked.iter().for_each(|id| self.metrics.relayed(*id));
+            marked.iter().for_each(|id| self.metrics.record_attempt(*id));
         } else if let Some(tracer) = &mut self.tracer {
             marked.iter().for_each(|id| tracer.reply_written(now, *id, conn));
         }
@@ -70,19 +70,19 @@
 
     /// Records that a new configuration was accepted or rejected.
     pub fn record_reload(&mut self, taken: bool) {
-        self.metrics.file(taken);
+        self.metrics.record_settings_file(taken);
     }
 
     /// Waits for a server list that a source is expected to deliver: see
-    /// [`crate::operate::phase::Phase::awaits_list`].
+    /// [`crate::operate::phase::Phase::await_server_list`].
     pub fn await_list(&mut self, now: Micros) {
-        self.phase.awaits_list(now);
+        self.phase.await_server_list(now);
     }
 
     /// Refuses every new request from now on and closes the client connections, as all accepted requests are
     /// answered and the process ends.
     pub fn start_refusing(&mut self, out: &mut Vec<Command>) {
-        self.phase.close();
+        self.phase.start_refusing();
         self.close_clients_when_stopping(out);
         if let Some(whip) = &mut self.whip {
             whip.keep(false);
@@ -95,7 +95,7 @@
     /// Closes every client connection without unanswered requests, once the process refuses requests and no
     /// session plays whose end has to be sent.
     pub(super) fn close_clients_when_stopping(&mut self, out: &mut Vec<Command>) {
-        if !self.phase.closed() || self.broker.established() > 0 {
+        if !self.phase.is_refusing() || self.broker.established() > 0 {
             return;
         }
         for (conn, c) in self.viewers.iter_mut().filter(|(_, c)| !c.is_closing && c.unanswered.is_empty()) {
@@ -114,7 +114,7 @@
         let phase = self.phase;
         self.close_clients_where(out, |c| {
             let quiet = !c.is_closing && c.unanswered.is_empty() && c.partial_since.is_none();
-            (quiet && phase.lets_go(now, c.last_used, c.has_spoken)).then_some("draining")
+            (quiet && phase.closes_connection(now, c.last_used, c.has_spoken)).then_some("draining")
         });
     }
 
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -14,7 +14,7 @@
     pub(super) fn trace_dials(&mut self, now: Micros, server: &ServerId, why: &str, commands: &[Command]) {
         if let Some(tracer) = &mut self.tracer {
             let dials = commands.iter().filter(|c| matches!(c, Command::Dial(..)));
-            dials.for_each(|_| tracer.dial(now, server, why));
+            dials.for_each(|_| tracer.connection_opened(now, server, why));
         }
     }
 
@@ -53,7 +53,7 @@
     /// Applies an update of the server list.
     pub fn update_server_list(&mut self, now: Micros, update: ListUpdate, out: &mut Vec<Command>) {
         if !update.servers.is_empty() {
-            self.phase.listed();
+            self.phase.server_list_received();
         }
         let mut lost = Vec::new();
         if update.kind == ListKind::Complete {
@@ -98,9 +98,9 @@
         let servers: Vec<ServerEntry> = update.servers.into_iter().map(|l| l.entry).collect();
         let servers = self.apply_barred(servers);
         if let Some(tracer) = &mut self.tracer {
-            tracer.listed(&servers);
+            tracer.update_servers(&servers);
             if update.kind == ListKind::Complete {
-                tracer.only(|id| self.servers.contains_key(id));
+                tracer.retain_servers(|id| self.servers.contains_key(id));
             }
         }
         self.handle_input(now, Input::Servers { kind: update.kind, servers }, out);
@@ -190,7 +190,7 @@
     pub(super) fn send_set_up(&mut self, now: Micros, set_up: &SetUp, out: &mut Vec<Command>) {
         let class = self.names.classes.get(set_up.class).cloned().unwrap_or_default();
         if let Some(tracer) = &mut self.tracer {
-            tracer.sent(now, set_up.id, &set_up.server, set_up.rung);
+            tracer.set_up_sent(now, set_up.id, &set_up.server, set_up.rung);
         }
         let before = out.len();
         let sent = if self.pool.serves(&set_up.server) {
--- a/src/node/viewers.rs
+++ b/src/node/viewers.rs
@@ -46,7 +46,7 @@
         }
         match message {
             ViewerMessage::Ping(id) => {
-                self.write_line(now, Some(conn), &viewer::pong(id, self.phase.passes(now)), out)
+                self.write_line(now, Some(conn), &viewer::pong(id, self.phase.passes_health_check(now)), out)
             }
             ViewerMessage::Release(id) => {
                 self.forget_session(id);
@@ -72,12 +72,12 @@
             }
             ViewerMessage::Invalid(id, class) => {
                 if let Some(class) = class {
-                    self.metrics.asked(id, name_at(&self.names.classes, class));
-                    self.metrics.answered(id, Outcome::Faulted);
+                    self.metrics.record_request(id, name_at(&self.names.classes, class));
+                    self.metrics.record_answer(id, Outcome::Faulted);
                 }
                 self.write_line(now, Some(conn), &viewer::failed(id), out);
             }
-            ViewerMessage::ExistingSession(request, _) if self.phase.closed() => {
+            ViewerMessage::ExistingSession(request, _) if self.phase.is_refusing() => {
                 self.apply_effect(now, Effect::Ended(request.id, Status::Reset), out);
             }
             ViewerMessage::ExistingSession(request, server) => {
@@ -144,7 +144,7 @@
     ) {
         let client_conn = client_conn.filter(|conn| self.viewers.contains_key(conn));
         if let Some(tracer) = &mut self.tracer {
-            tracer.replied(now, id, client_conn);
+            tracer.reply_sent(now, id, client_conn);
         }
         // The answer of an established session is marked: the session ends if its client can't be told of it.
         let (line, mark) = match answer {
@@ -152,7 +152,7 @@
             FinalAnswer::NotServed(line) => (line, None),
         };
         self.write_marked_line(client_conn, line, mark, out);
-        if mutant::on(Mutant::AnsweredTwice) {
+        if mutant::is_active(Mutant::AnsweredTwice) {
             self.write_marked_line(client_conn, line, None, out);
         }
         if let Some(conn) = client_conn {
--- a/src/platform/links/withdrawal.rs
+++ b/src/platform/links/withdrawal.rs
@@ -51,7 +51,7 @@
         link.last_used = now;
         self.withdrawals.insert(id, *conn);
         out.push(Command::Withdraw(*conn, id, bytes));
-        if mutant::on(Mutant::QueuedIsWritten) {
+        if mutant::is_active(Mutant::QueuedIsWritten) {
             self.withdrawals.remove(&id);
             self.attempt_ended_at.insert(id, now);
             return Withdrawal::Done;
--- a/src/platform/timings.rs
+++ b/src/platform/timings.rs
@@ -68,7 +68,7 @@
         Timings {
             longest_deadline,
             connect_timeout,
-            board_connect_timeout: board::CONNECT.max(connect_timeout).min(MAX_BOARD_CONNECT),
+            board_connect_timeout: board::CONNECT_TIMEOUT.max(connect_timeout).min(MAX_BOARD_CONNECT),
             server_idle_timeout,
             idle_margin: IDLE_MARGIN.min(Micros(server_idle_timeout.0 / IDLE_MARGIN_DIVISOR)),
             load_note_interval: settings.load_note_interval,
