--- a/src/net/board.rs
+++ b/src/net/board.rs
@@ -95,7 +95,7 @@
     }
 }
 
-/// Parses receive from the board and offers the server lists that they complete to the roster.
+/// Parses bytes from the board and offers the server lists that they complete to the roster.
 fn deliver(shared: &Handle, receive: &[u8]) -> Result<(), BoardError> {
     let mut updates = Vec::new();
     let read = shared.board.borrow_mut().receive(shared.now(), receive, &mut updates);
--- a/src/net/ending.rs
+++ b/src/net/ending.rs
@@ -70,8 +70,8 @@
         }
         while let Some(next_step) = plan.next_step(shared.now(), shutdown.remaining_work(shared)) {
             let left_ms = (plan.kill_at() - shared.now()).0 / 1000;
-            info!(event = "ending.step", step = ?next, left_ms);
-            match next {
+            info!(event = "ending.step", step = ?next_step, left_ms);
+            match next_step {
                 Step::LastCall => shutdown.stop_accepting.iter().for_each(|stop| stop.notify()),
                 // Nothing else runs between the count of the remaining work and this step: a request that comes from
                 // now on is refused.
--- a/src/net/handover/meeting.rs
+++ b/src/net/handover/meeting.rs
@@ -124,8 +124,9 @@
         let executor = shared.executor.clone();
         let exchange = async move {
             let handle = |message| {
-                handover
-                    .as_predecessor(&shared, |predecessor, out| predecessor.handle_message(takeover, &message, out))
+                handover.as_predecessor(&shared, |predecessor, out| {
+                    predecessor.handle_message(takeover, &message, out)
+                })
             };
             let reason = exchange_messages(&stream, &outbox, handle).await;
             handover.takeovers.borrow_mut().remove(&takeover);
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -220,8 +220,9 @@
             *handover.predecessor_outbox.borrow_mut() = Some(outbox.clone());
             handover.as_successor(&shared, Successor::connected);
             let exchange = async {
-                let handle =
-                    |message| handover.as_successor(&shared, |successor, out| successor.handle_message(message, out));
+                let handle = |message| {
+                    handover.as_successor(&shared, |successor, out| successor.handle_message(message, out))
+                };
                 let reason = exchange_messages(&stream, &outbox, handle).await;
                 info!(event = "end", peer = "old process", reason);
                 handover.as_successor(&shared, Successor::connection_ended);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -99,7 +99,7 @@
 
 impl Shared {
     fn new(config: &Config, board: BoardClient) -> Handle {
-        // Only lists from watched files are ever held back.
+        // Only lists from watched files are held back, so without a watch the limit is never reached.
         let never = ShrinkLimit { most_dropped: 1.0, hold: Micros(0) };
         let shrink_limit = config.watch.as_ref().map_or(never, |w| w.plausible);
         let (node, budget) = (Node::new(config), DescriptorBudget::new(config.sockets));
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -40,10 +40,10 @@
     for field in &unchangeable {
         warn!(event = "reload", field, "reload {field}: changed, waits for the next start");
     }
-    let updates = if new.board.is_some() || new.apply_known == old.apply_known {
-        shared.board.borrow_mut().apply_known(&new.apply_known)
+    let updates = if new.board.is_some() || new.known == old.known {
+        shared.board.borrow_mut().apply_known(&new.known)
     } else {
-        // A list without a board has no numbers: it is taken as a whole.
+        // A list from the configuration alone has no event numbers: it replaces the whole list.
         BoardClient::new(old.names.clone(), &new.known).1
     };
     let timings = shared.node.borrow().timings();
--- a/src/node/operate.rs
+++ b/src/node/operate.rs
@@ -44,7 +44,7 @@
 
     /// Returns the current metrics as text.
     fn read_metrics(&mut self, now: Micros) -> String {
-        self.metrics.register_classes(&self.names.register_classes);
+        self.metrics.register_classes(&self.names.classes);
         // A playing session counts as an open request, as it has not ended.
         let remaining = self.remaining();
         let gauges = Gauges {
--- a/src/platform/timings/tests.rs
+++ b/src/platform/timings/tests.rs
@@ -51,7 +51,7 @@
     for (connect, board) in [(100, 400), (250, 400), (700, 700), (2_000, 1_000)] {
         let timings = Timings::new(&settings(&[3_000], 3_000, 1_000), ms(30_000), ms(connect));
         assert_eq!(timings.board_connect_timeout, ms(board));
-        // A board that fell silent speaks again before its events count as told, 4 s after it fell silent.
+        // A board that fell silent is heard again before its events count as told, 4 s after it fell silent.
         assert!(board::SILENCE_TIMEOUT + board::RETRY_DELAY + timings.board_connect_timeout < ms(4_000));
     }
 }
--- a/src/trace/tracer.rs
+++ b/src/trace/tracer.rs
@@ -120,7 +120,7 @@
         let top = request.top.min(max_rung).0 as u64;
         self.sessions.insert(request.id, TracedSession::new(now, top));
         let (class, tenant, title) = (class.to_owned(), tenant.to_owned(), request.title.to_string());
-        let (id, left_ms, is_returning) = (id_text(request.id), whole_ms(request.due - now), request.is_returning);
+        let (id, left_ms, again) = (id_text(request.id), whole_ms(request.due - now), request.is_returning);
         self.push(now, Event::Asked { id, class, tenant, title, left_ms, again });
     }
 
