--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -63,11 +63,16 @@
     pub fn new(settings: Settings, seed: u64) -> Broker {
         let (classes, max_attempts) = (idempotency_by_class(&settings), settings.max_attempts);
         let make_module = move |seed| -> Box<dyn Decide> { Box::new(Brain::new(settings.clone(), seed)) };
-        Broker::with(classes, max_attempts, seed, Box::new(make_module))
+        Broker::with_module(classes, max_attempts, seed, Box::new(make_module))
     }
 
     /// A core round any module: what a repeat does in each class, and the cap on attempts.
-    pub fn with(classes: Vec<Idempotency>, max_attempts: u32, seed: u64, mut make_module: Make) -> Broker {
+    pub fn with_module(
+        classes: Vec<Idempotency>,
+        max_attempts: u32,
+        seed: u64,
+        mut make_module: Make,
+    ) -> Broker {
         Broker {
             module: make_module(seed),
             make_module,
@@ -87,7 +92,7 @@
 
     /// With so many bytes for sessions and their descriptions; what comes beyond that is refused at once, and told
     /// to stay away for so long.
-    pub fn bounded(mut self, memory_limit_bytes: usize, retry_after: Micros) -> Broker {
+    pub fn with_memory_limit(mut self, memory_limit_bytes: usize, retry_after: Micros) -> Broker {
         self.memory_limit_bytes = memory_limit_bytes;
         self.full_retry_after = retry_after;
         self
--- a/src/broker/requests.rs
+++ b/src/broker/requests.rs
@@ -94,7 +94,7 @@
     }
 
     /// Sessions that there is room for at most.
-    pub fn most_sessions(&self) -> usize {
+    pub fn max_sessions(&self) -> usize {
         self.memory_limit_bytes / SESSION_BYTES
     }
 
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -17,7 +17,7 @@
 
     /// Sessions that memory allows at most.
     pub fn most_sessions(&self) -> usize {
-        self.broker.most_sessions()
+        self.broker.max_sessions()
     }
 
     /// It serves from now on.
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -109,7 +109,7 @@
         let timings = Timings::new(&config.settings, config.idle, config.connect_timeout);
         Node {
             broker: Broker::new(config.settings.clone(), config.seed)
-                .bounded(config.memory / SESSIONS_PART, config.settings.max_retry_after),
+                .with_memory_limit(config.memory / SESSIONS_PART, config.settings.max_retry_after),
             names: config.names.clone(),
             settings: config.settings.clone(),
             links: Links::new(timings),
--- a/tests/broker.rs
+++ b/tests/broker.rs
@@ -242,7 +242,7 @@
 fn the_rules_hold_round_a_module_that_errs() {
     let mut rng = fastrand::Rng::with_seed(0xbad);
     let module = |seed| -> Box<dyn Decide> { Box::new(Erratic(fastrand::Rng::with_seed(seed))) };
-    let broker = Broker::with(vec![Idempotency::Unsafe, Idempotency::Safe], 4, 1, Box::new(module));
+    let broker = Broker::with_module(vec![Idempotency::Unsafe, Idempotency::Safe], 4, 1, Box::new(module));
     let mut core = Core { broker, now: ms(1_000_000) };
     let list = (0..4).map(|n| {
         let state = if n == 3 { ServerState::Draining } else { ServerState::Ready };
@@ -371,7 +371,7 @@
 #[test]
 fn what_there_is_no_room_for_is_refused_at_once() {
     let mut core = Core::new(3);
-    core.broker = core.broker.bounded(10 * 1024 + 3 * 5, ms(400));
+    core.broker = core.broker.with_memory_limit(10 * 1024 + 3 * 5, ms(400));
     let entry = |n| ServerEntry::new(server(n), ServerState::Ready, n);
     core.tell(Input::Servers { kind: ListKind::Complete, servers: (0..3).map(entry).collect() });
     let refused = |id| Effect::Refused(SessionId(id), ms(400));
