--- a/src/broker/decide.rs
+++ b/src/broker/decide.rs
@@ -20,7 +20,7 @@
 }
 
 /// What decides: the module, or in tests one that errs.
-pub trait Decide {
+pub trait DecisionModule {
     /// Takes one event in and appends what is to be done, in order.
     fn decide(&mut self, now: Micros, event: Event, out: &mut Vec<Action>);
 
@@ -35,7 +35,7 @@
     }
 }
 
-impl Decide for Brain {
+impl DecisionModule for Brain {
     fn decide(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.handle(now, event, out);
     }
@@ -50,4 +50,4 @@
 }
 
 /// Makes a module from a seed: one at the start, and one more after each that panicked.
-pub type Make = Box<dyn FnMut(u64) -> Box<dyn Decide>>;
+pub type ModuleFactory = Box<dyn FnMut(u64) -> Box<dyn DecisionModule>>;
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -19,7 +19,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use decide::Trigger;
-pub use decide::{Decide, Make};
+pub use decide::{DecisionModule, ModuleFactory};
 pub use effect::{Description, Effect, Failure, SetUp};
 pub use guard::{Guard, History};
 pub use input::Input;
@@ -37,8 +37,8 @@
 
 /// The core of one playback broker.
 pub struct Broker {
-    module: Box<dyn Decide>,
-    make_module: Make,
+    module: Box<dyn DecisionModule>,
+    make_module: ModuleFactory,
     /// Seed of the module that runs.
     seed: u64,
     guard: Guard,
@@ -62,7 +62,8 @@
     /// A core that knows its settings and nothing else.
     pub fn new(settings: Settings, seed: u64) -> Broker {
         let (classes, max_attempts) = (idempotency_by_class(&settings), settings.max_attempts);
-        let make_module = move |seed| -> Box<dyn Decide> { Box::new(Brain::new(settings.clone(), seed)) };
+        let make_module =
+            move |seed| -> Box<dyn DecisionModule> { Box::new(Brain::new(settings.clone(), seed)) };
         Broker::with_module(classes, max_attempts, seed, Box::new(make_module))
     }
 
@@ -71,7 +72,7 @@
         classes: Vec<Idempotency>,
         max_attempts: u32,
         seed: u64,
-        mut make_module: Make,
+        mut make_module: ModuleFactory,
     ) -> Broker {
         Broker {
             module: make_module(seed),
--- a/tests/broker.rs
+++ b/tests/broker.rs
@@ -3,7 +3,7 @@
 use amberspindle::api::{Idempotency, *};
 use std::collections::{BTreeMap, BTreeSet};
 
-use amberspindle::broker::{Broker, Decide, Effect, Input, SetUp};
+use amberspindle::broker::{Broker, DecisionModule, Effect, Input, SetUp};
 
 const PAID: usize = 0;
 const CLIP: usize = 1;
@@ -212,7 +212,7 @@
 /// A module that does as chance will: sends anywhere, refuses and fails what it likes, forgets, and panics.
 struct Erratic(fastrand::Rng);
 
-impl Decide for Erratic {
+impl DecisionModule for Erratic {
     fn decide(&mut self, _: Micros, event: Event, out: &mut Vec<Action>) {
         let ids: Vec<SessionId> = match &event {
             Event::Request(request) => vec![request.id],
@@ -241,7 +241,7 @@
 #[test]
 fn the_rules_hold_round_a_module_that_errs() {
     let mut rng = fastrand::Rng::with_seed(0xbad);
-    let module = |seed| -> Box<dyn Decide> { Box::new(Erratic(fastrand::Rng::with_seed(seed))) };
+    let module = |seed| -> Box<dyn DecisionModule> { Box::new(Erratic(fastrand::Rng::with_seed(seed))) };
     let broker = Broker::with_module(vec![Idempotency::Unsafe, Idempotency::Safe], 4, 1, Box::new(module));
     let mut core = Core { broker, now: ms(1_000_000) };
     let list = (0..4).map(|n| {
