--- a/src/broker/queries.rs
+++ b/src/broker/queries.rs
@@ -38,7 +38,7 @@
     }
 
     /// Whether the session is known: unanswered, or standing.
-    pub fn knows(&self, id: SessionId) -> bool {
+    pub fn has_session(&self, id: SessionId) -> bool {
         self.sessions.contains(id)
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// The servers as last told.
-    pub fn listed(&self) -> Vec<ServerEntry> {
+    pub fn listed_servers(&self) -> Vec<ServerEntry> {
         self.guard.servers()
     }
 
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -119,7 +119,7 @@
     /// A client left a session, as the other process heard.
     pub fn client_left_at_peer(&mut self, now: Micros, id: u64, out: &mut Vec<Command>) {
         let id = SessionId(id);
-        if self.broker.knows(id) {
+        if self.broker.has_session(id) {
             self.forget(id);
             self.tell(now, Input::ClientLeft(id), out);
         }
--- a/src/node/ruled.rs
+++ b/src/node/ruled.rs
@@ -43,7 +43,7 @@
         if ruled.standing.versions() == before {
             return;
         }
-        let listed = self.broker.listed();
+        let listed = self.broker.listed_servers();
         let mut changes = Vec::new();
         for entry in listed {
             let bars = ruled.standing.bars(&entry.id.0);
--- a/src/node/viewers.rs
+++ b/src/node/viewers.rs
@@ -41,7 +41,7 @@
             }
             ViewerMessage::Release(id) => {
                 self.forget(id);
-                if self.broker.knows(id) {
+                if self.broker.has_session(id) {
                     self.tell(now, Input::ClientLeft(id), out);
                 } else {
                     self.stray(id);
@@ -49,7 +49,7 @@
             }
             ViewerMessage::SetUp(request, description) => {
                 let id = request.id;
-                if self.broker.knows(id) {
+                if self.broker.has_session(id) {
                     return self.taken(now, conn, id, out);
                 }
                 self.homes.insert(id, conn);
@@ -58,7 +58,7 @@
                 }
                 self.ask(now, request, description.into_bytes().into(), out);
             }
-            ViewerMessage::Unfit(id, _) if self.broker.knows(id) => self.taken(now, conn, id, out),
+            ViewerMessage::Unfit(id, _) if self.broker.has_session(id) => self.taken(now, conn, id, out),
             ViewerMessage::Unfit(id, class) => {
                 if let Some(class) = class {
                     self.figures.asked(id, named(&self.names.classes, class));
--- a/tests/broker.rs
+++ b/tests/broker.rs
@@ -99,7 +99,7 @@
     assert!(answers(&core.pass(ms(5000))).is_empty());
     let out = core.over(1, &set_up.server, Status::Completed);
     assert_eq!(out, [Effect::Ended(SessionId(1), Status::Completed)]);
-    assert!(!core.broker.knows(SessionId(1)));
+    assert!(!core.broker.has_session(SessionId(1)));
 }
 
 #[test]
