--- a/src/broker/answers.rs
+++ b/src/broker/answers.rs
@@ -122,8 +122,8 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(session) = self.sessions.get(id) else { return };
-        let deadline = session.timed_out || trigger == Trigger::Timer;
-        self.fail(now, id, deadline, out);
+        let deadline_passed = session.timed_out || trigger == Trigger::Timer;
+        self.fail(now, id, deadline_passed, out);
     }
 
     /// The answer is overdue: no request may be left without one, even if the module forgot it.
@@ -136,10 +136,10 @@
     }
 
     /// Fails an unanswered request.
-    fn fail(&mut self, now: Micros, id: SessionId, deadline: bool, out: &mut Vec<Effect>) {
+    fn fail(&mut self, now: Micros, id: SessionId, deadline_passed: bool, out: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get(id).filter(|session| session.is_unanswered()) else { return };
         let may_have_run = session.history.may_have_run || session.history.attempt_in_flight;
-        out.push(Effect::Failed(id, Failure { deadline, may_have_run }));
+        out.push(Effect::Failed(id, Failure { deadline_passed, may_have_run }));
         self.close_unanswered(now, id, out);
     }
 
--- a/src/broker/effect.rs
+++ b/src/broker/effect.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
     /// Its time ran out; else a server or a connection failed it.
-    pub deadline: bool,
+    pub deadline_passed: bool,
     /// An attempt may have run.
     pub may_have_run: bool,
 }
--- a/src/whip/mod.rs
+++ b/src/whip/mod.rs
@@ -672,7 +672,7 @@
     /// Failed.
     pub fn failed(&mut self, now: Micros, id: SessionId, why: Failure, out: &mut Vec<FrontAction>) {
         let Some(session) = self.sessions.remove(&id) else { return };
-        let status = if why.deadline { 504 } else { 502 };
+        let status = if why.deadline_passed { 504 } else { 502 };
         if let Some(key) = session.booking {
             if why.may_have_run {
                 self.spend(now, &key, Stage::Failed(status));
@@ -680,7 +680,7 @@
                 self.bookings.remove(&key);
             }
         }
-        let code = if why.deadline { "out-of-time" } else { "failed" };
+        let code = if why.deadline_passed { "out-of-time" } else { "failed" };
         let response = Response::problem(status, code, "the set-up failed");
         self.tell_all(id, &session.waiters, &response, None, out);
     }
--- a/tests/broker.rs
+++ b/tests/broker.rs
@@ -112,7 +112,7 @@
     let out = core.over(1, &second.server, Status::Reset);
     assert!(sent(&out).is_empty());
     assert!(
-        matches!(answers(&out)[..], [Effect::Failed(SessionId(1), why)] if why.may_have_run && !why.deadline)
+        matches!(answers(&out)[..], [Effect::Failed(SessionId(1), why)] if why.may_have_run && !why.deadline_passed)
     );
 }
 
@@ -122,7 +122,7 @@
     let first = sent(&core.ask(1, PAID)).remove(0);
     let out = core.pass(ms(2000));
     assert!(
-        matches!(answers(&out)[..], [Effect::Failed(SessionId(1), why)] if why.may_have_run && why.deadline)
+        matches!(answers(&out)[..], [Effect::Failed(SessionId(1), why)] if why.may_have_run && why.deadline_passed)
     );
     assert!(out.contains(&Effect::Withdraw(SessionId(1), first.server.clone())));
     let late = core.stands(1, &first.server);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -61,7 +61,7 @@
     for tick_ms in [1, 10, 25, 50, 100, 200] {
         let mut core = Core::with_request(Micros(tick_ms * 1000));
         let effects = core.pass_until(core.due + Micros(100_000));
-        let expected = Failure { deadline: true, may_have_run: true };
+        let expected = Failure { deadline_passed: true, may_have_run: true };
         assert_eq!(failures(&effects), [expected], "ticks of {tick_ms} ms");
     }
 }
@@ -72,5 +72,5 @@
     assert_eq!(failures(&core.pass_until(core.due - Micros(80_000))), []);
     let (id, server, load) = (REQUEST, server(), Load::default());
     let effects = core.tell(Input::Ended { id, server, status: Status::Errored, load });
-    assert_eq!(failures(&effects), [Failure { deadline: false, may_have_run: true }]);
+    assert_eq!(failures(&effects), [Failure { deadline_passed: false, may_have_run: true }]);
 }
