--- a/src/message/binary.rs
+++ b/src/message/binary.rs
@@ -1,6 +1,6 @@
 //! Binary messages: `length:2 type:1 session:8` and parameters `code:1 length:2 value`, big-endian.
 
-use super::{Kind, LARGEST, Malformed, ReadBuffer};
+use super::{Kind, MAX_MESSAGE_BYTES, Malformed, ReadBuffer};
 use crate::api::SessionId;
 
 /// Codes of the parameters.
@@ -91,7 +91,7 @@
         let bytes = self.buffer.unread();
         let Some((length, rest)) = bytes.split_at_checked(2) else { return Ok(None) };
         let length = usize::from(u16::from_be_bytes([length[0], length[1]]));
-        if length + 2 > LARGEST {
+        if length + 2 > MAX_MESSAGE_BYTES {
             return Err(Malformed::TooLarge);
         }
         if length < HEADER_BYTES {
@@ -130,7 +130,7 @@
 
     /// Adds a parameter.
     pub fn with(mut self, code: u8, value: &[u8]) -> Builder {
-        self.fits &= self.bytes.len() + 3 + value.len() <= LARGEST;
+        self.fits &= self.bytes.len() + 3 + value.len() <= MAX_MESSAGE_BYTES;
         if self.fits {
             self.bytes.push(code);
             self.bytes.extend_from_slice(&(value.len() as u16).to_be_bytes());
--- a/src/message/line.rs
+++ b/src/message/line.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Map, Value};
 
-use super::{Kind, LARGEST, Malformed, ReadBuffer};
+use super::{Kind, MAX_MESSAGE_BYTES, Malformed, ReadBuffer};
 use crate::api::SessionId;
 
 /// One message of a viewer's connection.
@@ -61,7 +61,7 @@
         }
         let mut bytes = Value::Object(object).to_string().into_bytes();
         bytes.push(b'\n');
-        if bytes.len() > LARGEST { Err(Malformed::TooLarge) } else { Ok(bytes) }
+        if bytes.len() > MAX_MESSAGE_BYTES { Err(Malformed::TooLarge) } else { Ok(bytes) }
     }
 
     fn decode(bytes: &[u8]) -> Result<Line, Malformed> {
@@ -123,14 +123,14 @@
             let bytes = self.buffer.unread();
             let Some(end) = bytes[self.searched..].iter().position(|b| *b == b'\n') else {
                 self.searched = bytes.len();
-                if bytes.len() >= LARGEST {
+                if bytes.len() >= MAX_MESSAGE_BYTES {
                     return Err(Malformed::TooLarge);
                 }
                 self.buffer.free_if_empty();
                 return Ok(None);
             };
             let end = self.searched + end;
-            if end + 1 > LARGEST {
+            if end + 1 > MAX_MESSAGE_BYTES {
                 return Err(Malformed::TooLarge);
             }
             let line = &bytes[..end];
--- a/src/message/mod.rs
+++ b/src/message/mod.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 
 /// No message may be larger.
-pub const LARGEST: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
 /// What a message is, on either wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -129,7 +129,7 @@
 /// Why bytes are no message; each ends its connection with its code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Malformed {
-    /// Larger than [`LARGEST`].
+    /// Larger than [`MAX_MESSAGE_BYTES`].
     TooLarge,
     /// A length that does not fit.
     BadLength,
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -4,7 +4,7 @@
 use amberspindle::board::Board;
 use amberspindle::http::{client, server, sse};
 use amberspindle::message::line::Line;
-use amberspindle::message::{Kind, LARGEST, Malformed, binary, line};
+use amberspindle::message::{Kind, MAX_MESSAGE_BYTES, Malformed, binary, line};
 use amberspindle::platform::links::{ConnId, Links};
 use amberspindle::platform::load_report;
 use amberspindle::platform::timings::Timings;
@@ -186,13 +186,13 @@
 #[test]
 fn too_much_is_turned_away() {
     let mut lines = line::Decoder::default();
-    lines.feed(&vec![b' '; LARGEST]);
+    lines.feed(&vec![b' '; MAX_MESSAGE_BYTES]);
     assert_eq!(lines.next_line(), Err(Malformed::TooLarge));
     let mut packets = binary::Decoder::default();
     packets.feed(&[0xff, 0xff]);
     assert_eq!(packets.next_packet().map(|_| ()), Err(Malformed::TooLarge));
-    let huge = vec![0; LARGEST];
+    let huge = vec![0; MAX_MESSAGE_BYTES];
     assert!(binary::Builder::new(Kind::Answer, SessionId(1)).with(18, &huge).finish().is_err());
-    let text = "x".repeat(LARGEST);
+    let text = "x".repeat(MAX_MESSAGE_BYTES);
     assert!(Line::new(Kind::Answer, SessionId(1)).sdp(&text).encode().is_err());
 }
