--- a/src/message/line.rs
+++ b/src/message/line.rs
@@ -113,7 +113,7 @@
     }
 
     /// Whether a message has begun that is not whole yet.
-    pub fn begun(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         !self.buffer.is_empty()
     }
 
--- a/src/platform/links.rs
+++ b/src/platform/links.rs
@@ -232,7 +232,7 @@
         if heard.iter().any(|heard| matches!(heard, ServerMessage::Note(_, Note::Link(_)))) {
             self.noted = now;
         }
-        link.begun = if link.decoder.begun() { link.begun.or(Some(now)) } else { None };
+        link.begun = if link.decoder.has_partial_message() { link.begun.or(Some(now)) } else { None };
         (link.server.clone(), heard)
     }
 }
--- a/src/platform/viewer.rs
+++ b/src/platform/viewer.rs
@@ -37,7 +37,7 @@
 
     /// Whether a message has begun that is not whole yet.
     pub fn begun(&self) -> bool {
-        self.decoder.begun()
+        self.decoder.has_partial_message()
     }
 
     /// The next thing said, or none until more bytes come.
--- a/tests/half_written.rs
+++ b/tests/half_written.rs
@@ -114,7 +114,7 @@
             let length = usize::from(u16::from_be_bytes([bytes[begin], bytes[begin + 1]]));
             messages.push(Message { kind: packet.kind, id: packet.id.0, end: begin + 2 + length });
         }
-        if messages.iter().any(|m| m.kind == Kind::SetUp && m.id == last) && !decoder.begun() {
+        if messages.iter().any(|m| m.kind == Kind::SetUp && m.id == last) && !decoder.has_partial_message() {
             return messages;
         }
     }
