--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -228,7 +228,7 @@
         self.tell(now, Input::Tick, out);
         if now >= self.look_at {
             self.look_at = now + LOOK_EVERY;
-            self.names.lately &= now < self.renamed_at + self.timings.renamed;
+            self.names.recently_changed &= now < self.renamed_at + self.timings.renamed;
             self.owed.retain(|(until, _)| *until > now);
             self.look(now, out);
             self.links.tick(now, out);
--- a/src/operate/settings.rs
+++ b/src/operate/settings.rs
@@ -93,8 +93,8 @@
     let same_class = |o: usize, n: usize| {
         named.classes.get(o) == wanted.classes.get(n) && had.classes.get(o) == want.classes.get(n)
     };
-    let (classes, retired) = places(had.classes.len(), want.classes.len(), same_class, |o| {
-        named.retired.contains(&o) && !class_in_use(o)
+    let (classes, retired_classes) = places(had.classes.len(), want.classes.len(), same_class, |o| {
+        named.retired_classes.contains(&o) && !class_in_use(o)
     });
     settings.classes = put(&had.classes, &want.classes, &classes);
     // A tenant's share may change under its requests: it is not theirs but the tenant's.
@@ -108,9 +108,9 @@
         tenants: put(&named.tenants, &wanted.tenants, &tenants),
         zones: named.zones.clone(),
         kinds: named.kinds.clone(),
-        retired,
+        retired_classes,
         retired_tenants,
-        lately: true,
+        recently_changed: true,
     };
     Merged { settings, names, classes, tenants, waits }
 }
@@ -192,7 +192,7 @@
         assert_eq!(got.tenants, [1, 0]);
         let gone = merged(&(got.settings, got.names), &of(&[("new", Idempotency::Safe)], &["home"]), &[0]);
         assert_eq!((gone.names.class("paid"), gone.names.class("new")), (Some(0), Some(3)), "on their way");
-        let names = SettingNames { lately: false, ..gone.names };
+        let names = SettingNames { recently_changed: false, ..gone.names };
         assert_eq!((names.class("paid"), names.class("new")), (None, Some(3)));
         assert_eq!(gone.settings.classes.len(), 4);
     }
--- a/src/roster/listed.rs
+++ b/src/roster/listed.rs
@@ -17,11 +17,11 @@
     /// Kinds of servers.
     pub kinds: Vec<String>,
     /// Numbers of classes that are kept for requests under way alone.
-    pub retired: BTreeSet<usize>,
+    pub retired_classes: BTreeSet<usize>,
     /// The same of tenants.
     pub retired_tenants: BTreeSet<usize>,
     /// Classes went or changed just now: requests that name one that went may still be on their way.
-    pub lately: bool,
+    pub recently_changed: bool,
 }
 
 impl SettingNames {
@@ -32,18 +32,23 @@
 
     /// The class that requests of this name get.
     pub fn class(&self, name: &str) -> Option<usize> {
-        SettingNames::current(&self.classes, &self.retired, self.lately, name)
+        SettingNames::current(&self.classes, &self.retired_classes, self.recently_changed, name)
     }
 
     /// The tenant of this name.
     pub fn tenant(&self, name: &str) -> Option<usize> {
-        SettingNames::current(&self.tenants, &self.retired_tenants, self.lately, name)
+        SettingNames::current(&self.tenants, &self.retired_tenants, self.recently_changed, name)
     }
 
-    fn current(list: &[String], retired: &BTreeSet<usize>, lately: bool, name: &str) -> Option<usize> {
+    fn current(
+        list: &[String],
+        retired: &BTreeSet<usize>,
+        recently_changed: bool,
+        name: &str,
+    ) -> Option<usize> {
         let named = || list.iter().enumerate().filter(|(_, n)| *n == name).map(|(i, _)| i);
         let retired = |i: &usize| retired.contains(i);
-        named().find(|i| !retired(i)).or_else(|| named().next().filter(|_| lately))
+        named().find(|i| !retired(i)).or_else(|| named().next().filter(|_| recently_changed))
     }
 }
 
