--- a/benches/roster.rs
+++ b/benches/roster.rs
@@ -45,7 +45,7 @@
 }
 
 fn roster(size: usize) -> Roster {
-    let mut roster = Roster::new(ShrinkLimit { most_dropped: 0.5, hold: Micros(0) });
+    let mut roster = Roster::new(ShrinkLimit { max_dropped_fraction: 0.5, hold: Micros(0) });
     roster.offer(Micros(0), candidate(size, 1));
     roster
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -195,7 +195,7 @@
         poll: ms(record.poll_ms, 2_000),
         most: record.most_kb.unwrap_or(16 * 1024) * 1024,
         plausible: ShrinkLimit {
-            most_dropped: record.most_dropped.unwrap_or(0.5),
+            max_dropped_fraction: record.most_dropped.unwrap_or(0.5),
             hold: ms(record.hold_ms, 60_000),
         },
         state: record.state.as_ref().map(|dir| base.join(dir)),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -92,7 +92,7 @@
 impl Shared {
     fn new(config: &Config, board: Board) -> Handle {
         // Only lists from watched files are ever held back.
-        let never = ShrinkLimit { most_dropped: 1.0, hold: Micros(0) };
+        let never = ShrinkLimit { max_dropped_fraction: 1.0, hold: Micros(0) };
         let plausible = config.watch.as_ref().map_or(never, |w| w.plausible);
         let (node, budget) = (Node::new(config), Budget::new(config.sockets));
         let timings = node.timings();
--- a/src/roster/mod.rs
+++ b/src/roster/mod.rs
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShrinkLimit {
     /// A list that drops more than this part of the servers at once is held back.
-    pub most_dropped: f64,
+    pub max_dropped_fraction: f64,
     /// For so long it must stand unchanged.
     pub hold: Micros,
 }
@@ -325,7 +325,7 @@
         let of = self.current.servers.len() - self.leaving.len();
         let absent = absent(&self.current.servers, &candidate.servers);
         let dropped = absent.iter().filter(|l| !self.leaving.contains_key(&l.entry.id)).count();
-        if dropped as f64 > self.shrink_limit.most_dropped * of as f64 {
+        if dropped as f64 > self.shrink_limit.max_dropped_fraction * of as f64 {
             let held = self.held.as_ref().filter(|h| h.candidate.digest == candidate.digest);
             let (since, news) = held.map_or((now, true), |h| (h.since, false));
             let until = since + self.shrink_limit.hold;
--- a/src/roster/tests.rs
+++ b/src/roster/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::api::ServerEntry;
 
-const SHRINK_LIMIT: ShrinkLimit = ShrinkLimit { most_dropped: 0.5, hold: Micros(60_000_000) };
+const SHRINK_LIMIT: ShrinkLimit = ShrinkLimit { max_dropped_fraction: 0.5, hold: Micros(60_000_000) };
 
 fn at_seconds(seconds: u64) -> Micros {
     Micros(1_000_000_000 + seconds * 1_000_000)
--- a/src/watch/tests.rs
+++ b/src/watch/tests.rs
@@ -43,7 +43,7 @@
         notify: true,
         poll: Micros(2_000_000),
         most: 1 << 20,
-        plausible: ShrinkLimit { most_dropped: 0.5, hold: Micros(0) },
+        plausible: ShrinkLimit { max_dropped_fraction: 0.5, hold: Micros(0) },
         state: None,
     }
 }
