--- a/benches/roster.rs
+++ b/benches/roster.rs
@@ -105,7 +105,7 @@
     let roster = roster(size);
     bencher.with_inputs(|| roster.clone()).bench_local_values(|mut roster| {
         let news = ListUpdate { kind: ListKind::Changes, servers: vec![listed(size / 2, 7.0)] };
-        let verdict = roster.hear(Micros(1), Source::Registry, news);
+        let verdict = roster.apply_update(Micros(1), Source::Registry, news);
         assert!(matches!(verdict, OfferOutcome::Taken(_)));
         roster
     });
@@ -140,7 +140,7 @@
     bencher.with_inputs(|| first.clone()).bench_local_values(|mut roster| {
         let kept: Vec<Generation> = (2..=10)
             .map(|n| {
-                roster.hear(Micros(1), amberspindle::roster::Source::Registry, changed(n));
+                roster.apply_update(Micros(1), amberspindle::roster::Source::Registry, changed(n));
                 roster.current().clone()
             })
             .collect();
--- a/src/net/files.rs
+++ b/src/net/files.rs
@@ -72,7 +72,7 @@
 
 /// A source with a list of its own has spoken.
 pub(super) fn hear(shared: &Handle, source: Source, news: ListUpdate) {
-    let verdict = shared.roster.borrow_mut().hear(shared.now(), source, news);
+    let verdict = shared.roster.borrow_mut().apply_update(shared.now(), source, news);
     match verdict {
         OfferOutcome::Taken(taken) => announce(shared, taken),
         OfferOutcome::Shadowed(by) => {
@@ -98,7 +98,7 @@
             }
             WatchEvent::Withdrawn => {
                 self.waiting = None;
-                shared.roster.borrow_mut().withdraw();
+                shared.roster.borrow_mut().discard_held();
             }
             WatchEvent::Refused { set, finding, quiet } => {
                 let event = if set == SetId::Lists { "list.refused" } else { "script.refused" };
@@ -377,7 +377,7 @@
         }
         let parted = {
             let node = shared.node.borrow();
-            shared.roster.borrow_mut().part(now, |id| node.busy(id))
+            shared.roster.borrow_mut().remove_departed(now, |id| node.busy(id))
         };
         if let Some(news) = parted {
             info!(event = "list.parted", servers = news.servers.len());
--- a/src/roster/mod.rs
+++ b/src/roster/mod.rs
@@ -199,7 +199,7 @@
     ///
     /// Lines are taken as they are; the source has left out what can't be used. An absent line of a whole list is
     /// gone, as those sources mean it.
-    pub fn hear(&mut self, now: Micros, source: Source, update: ListUpdate) -> OfferOutcome {
+    pub fn apply_update(&mut self, now: Micros, source: Source, update: ListUpdate) -> OfferOutcome {
         if let Some(owner) = self.outranking_source(source) {
             return OfferOutcome::Shadowed(owner);
         }
@@ -338,7 +338,7 @@
     }
 
     /// What was read last can't be used: a list that is held back no longer stands.
-    pub fn withdraw(&mut self) {
+    pub fn discard_held(&mut self) {
         self.held = None;
     }
 
@@ -350,7 +350,7 @@
     }
 
     /// Servers that were dropped, that nothing plays at any more, and that are kept no longer: they are gone.
-    pub fn part(&mut self, now: Micros, busy: impl Fn(&ServerId) -> bool) -> Option<ListUpdate> {
+    pub fn remove_departed(&mut self, now: Micros, busy: impl Fn(&ServerId) -> bool) -> Option<ListUpdate> {
         let over: Vec<ServerId> = self
             .leaving
             .iter()
--- a/src/roster/tests.rs
+++ b/src/roster/tests.rs
@@ -72,10 +72,10 @@
         taken(roster.offer(at_seconds(1), candidate(2, vec![listed_server("a", 1), listed_server("c", 3)])));
     assert_eq!(states(&second.news), [("b", ServerState::Draining)]);
     assert_eq!((second.servers, second.removed, roster.leaving()), (2, 1, 1));
-    assert_eq!(roster.part(at_seconds(5), |_| false), None, "late answers may still come");
+    assert_eq!(roster.remove_departed(at_seconds(5), |_| false), None, "late answers may still come");
     assert_eq!(roster.next_due(), Some(at_seconds(31)));
-    assert_eq!(roster.part(at_seconds(31), |_| true), None, "something plays there");
-    let parted = roster.part(at_seconds(61), |_| false).unwrap();
+    assert_eq!(roster.remove_departed(at_seconds(31), |_| true), None, "something plays there");
+    let parted = roster.remove_departed(at_seconds(61), |_| false).unwrap();
     assert_eq!(states(&parted), [("b", ServerState::Gone)]);
     assert_eq!((roster.leaving(), roster.next_due(), roster.current().servers.len()), (0, None, 2));
 }
@@ -107,7 +107,7 @@
         listed_server("c", 3),
     ];
     assert_eq!(roster.offer(at_seconds(2), candidate(3, list)), OfferOutcome::Same, "it drains already");
-    assert_eq!((roster.leaving(), roster.part(at_seconds(99), |_| false)), (0, None));
+    assert_eq!((roster.leaving(), roster.remove_departed(at_seconds(99), |_| false)), (0, None));
 }
 
 /// "A new edge server may have the address of one that has gone", and an id may come back elsewhere.
@@ -174,7 +174,7 @@
         roster.offer(at_seconds(40), other),
         OfferOutcome::Held { until: at_seconds(100), dropped: 3, of: 4, news: true }
     );
-    roster.withdraw();
+    roster.discard_held();
     assert_eq!(
         (roster.tick(at_seconds(200)), roster.next_due()),
         (None, None),
@@ -205,7 +205,7 @@
 #[test]
 fn a_source_that_knows_more_keeps_the_list_once_it_has_spoken() {
     let mut roster = Roster::new(SHRINK_LIMIT);
-    taken(roster.hear(
+    taken(roster.apply_update(
         at_seconds(0),
         Source::Fixed,
         complete_list(vec![listed_server("a", 1), listed_server("b", 2)]),
@@ -213,10 +213,11 @@
     let watched =
         taken(roster.offer(at_seconds(1), candidate(1, vec![listed_server("a", 1), listed_server("c", 3)])));
     assert_eq!(watched.source, Source::Watched);
-    let shadow = roster.hear(at_seconds(2), Source::Fixed, complete_list(vec![listed_server("x", 8)]));
+    let shadow =
+        roster.apply_update(at_seconds(2), Source::Fixed, complete_list(vec![listed_server("x", 8)]));
     assert_eq!(shadow, OfferOutcome::Shadowed(Source::Watched));
     // The registry does not know what the files told of: that drains, it is not cut.
-    let registry = taken(roster.hear(
+    let registry = taken(roster.apply_update(
         at_seconds(3),
         Source::Registry,
         complete_list(vec![listed_server("c", 3), listed_server("d", 4)]),
@@ -231,24 +232,27 @@
         OfferOutcome::Shadowed(Source::Registry)
     );
     // Its own next list means what it leaves out to be gone.
-    let next =
-        taken(roster.hear(at_seconds(5), Source::Registry, complete_list(vec![listed_server("d", 4)])));
+    let next = taken(roster.apply_update(
+        at_seconds(5),
+        Source::Registry,
+        complete_list(vec![listed_server("d", 4)]),
+    ));
     assert!(states(&next.news).contains(&("c", ServerState::Gone)));
 }
 
 #[test]
 fn changes_are_taken_line_by_line_and_told_once() {
     let mut roster = Roster::new(SHRINK_LIMIT);
-    taken(roster.hear(
+    taken(roster.apply_update(
         at_seconds(0),
         Source::Board,
         complete_list(vec![listed_server("a", 1), listed_server("b", 2)]),
     ));
     let changes = |servers| ListUpdate { kind: ListKind::Changes, servers };
     let gone = changes(vec![with_state(listed_server("b", 2), ServerState::Gone), listed_server("a", 1)]);
-    let taken = taken(roster.hear(at_seconds(1), Source::Board, gone.clone()));
+    let taken = taken(roster.apply_update(at_seconds(1), Source::Board, gone.clone()));
     assert_eq!(states(&taken.news), [("b", ServerState::Gone)]);
-    assert_eq!(roster.hear(at_seconds(2), Source::Board, gone), OfferOutcome::Same);
+    assert_eq!(roster.apply_update(at_seconds(2), Source::Board, gone), OfferOutcome::Same);
 }
 
 #[test]
@@ -294,8 +298,8 @@
                     _ => None,
                 },
                 1 => match roster.tick(at_seconds(now)) { Some(OfferOutcome::Taken(t)) => Some(t.news), _ => None },
-                2 => roster.part(at_seconds(now), |id| id.0.ends_with('3')),
-                _ => match roster.hear(at_seconds(now), Source::Fixed, ListUpdate { kind: ListKind::Changes, servers }) {
+                2 => roster.remove_departed(at_seconds(now), |id| id.0.ends_with('3')),
+                _ => match roster.apply_update(at_seconds(now), Source::Fixed, ListUpdate { kind: ListKind::Changes, servers }) {
                     OfferOutcome::Taken(t) => Some(t.news),
                     _ => None,
                 },
