--- a/benches/roster.rs
+++ b/benches/roster.rs
@@ -75,7 +75,7 @@
     let next = candidate(size, 2);
     bencher.with_inputs(|| (roster.clone(), next.clone())).bench_local_values(|(mut roster, next)| {
         let OfferOutcome::Taken(taken) = roster.offer(Micros(1), next) else { panic!("not taken") };
-        assert_eq!(taken.news.servers.len(), 1);
+        assert_eq!(taken.update.servers.len(), 1);
         (roster, taken)
     });
 }
--- a/src/net/files.rs
+++ b/src/net/files.rs
@@ -66,7 +66,7 @@
 /// Announces a generation in the log and tells the node of it.
 pub(super) fn announce(shared: &Handle, taken: GenerationChange) {
     log_taken(&taken);
-    step(shared, |node, now, out| node.news(now, taken.news, out));
+    step(shared, |node, now, out| node.news(now, taken.update, out));
     shared.listed.ring();
 }
 
@@ -136,19 +136,19 @@
                     info!(event = "list.same", generation, digest = digest.as_deref());
                 }
             }
-            OfferOutcome::Held { until, dropped, of, news } => {
-                if news || asked {
+            OfferOutcome::Held { until, dropped, total, is_first_report } => {
+                if is_first_report || asked {
                     let wait_ms = (until - shared.now()).0 / 1000;
                     let digest = lists.digest.short();
-                    warn!(event = "list.held", dropped, of, wait_ms, digest = digest.as_str());
+                    warn!(event = "list.held", dropped, of = total, wait_ms, digest = digest.as_str());
                 }
                 self.waiting = Some(lists);
                 shared.listed.ring();
             }
-            OfferOutcome::Older { revision, than } => {
+            OfferOutcome::Older { revision, in_use } => {
                 self.waiting = None;
                 let file = self.name(Role::Servers);
-                let reason = format!("{revision} is older than {than}, which is in use");
+                let reason = format!("{revision} is older than {in_use}, which is in use");
                 warn!(event = "list.refused", file, field = "revision", reason = reason.as_str());
             }
             OfferOutcome::Shadowed(by) => {
@@ -229,7 +229,7 @@
                         .clone()
                         .map(|c| shared.roster.borrow_mut().restore(now, kept.generation, c, &started));
                     if let Some(OfferOutcome::Taken(taken)) = verdict {
-                        step(shared, |node, now, out| node.news(now, taken.news, out));
+                        step(shared, |node, now, out| node.news(now, taken.update, out));
                     }
                     self.adopt(shared, lists);
                 }
@@ -258,7 +258,7 @@
             changed: 0,
             removed: 0,
             digest: roster.current().digest,
-            news: ListUpdate { kind: ListKind::Changes, servers: Vec::new() },
+            update: ListUpdate { kind: ListKind::Changes, servers: Vec::new() },
         });
     }
 
--- a/src/roster/mod.rs
+++ b/src/roster/mod.rs
@@ -117,7 +117,7 @@
     /// Of the content, where it came from files.
     pub digest: Option<Digest>,
     /// What the node is told.
-    pub news: ListUpdate,
+    pub update: ListUpdate,
 }
 
 /// What became of a candidate.
@@ -134,16 +134,16 @@
         /// Servers that it drops.
         dropped: usize,
         /// Of so many.
-        of: usize,
+        total: usize,
         /// Whether this is the first word of it.
-        news: bool,
+        is_first_report: bool,
     },
     /// A list with a higher number is in use.
     Older {
         /// Its number.
         revision: u64,
         /// The one in use.
-        than: u64,
+        in_use: u64,
     },
     /// Another source keeps the list.
     Shadowed(Source),
@@ -294,7 +294,7 @@
             changed,
             removed,
             digest: self.current.digest,
-            news: ListUpdate { kind, servers: updated },
+            update: ListUpdate { kind, servers: updated },
         })
     }
 
@@ -314,24 +314,24 @@
             self.held = None;
             return OfferOutcome::Same;
         }
-        if let (true, Some(revision), Some(than)) = (is_watched, candidate.revision, self.current.revision)
-            && revision < than
+        if let (true, Some(revision), Some(in_use)) = (is_watched, candidate.revision, self.current.revision)
+            && revision < in_use
         {
             self.held = None;
-            return OfferOutcome::Older { revision, than };
+            return OfferOutcome::Older { revision, in_use };
         }
         // In the order of the map, both are walked side by side: no look-up for each line.
         candidate.servers.sort_by(|a, b| a.entry.id.cmp(&b.entry.id));
-        let of = self.current.servers.len() - self.leaving.len();
+        let total = self.current.servers.len() - self.leaving.len();
         let absent = absent(&self.current.servers, &candidate.servers);
         let dropped = absent.iter().filter(|l| !self.leaving.contains_key(&l.entry.id)).count();
-        if dropped as f64 > self.shrink_limit.max_dropped_fraction * of as f64 {
+        if dropped as f64 > self.shrink_limit.max_dropped_fraction * total as f64 {
             let held = self.held.as_ref().filter(|h| h.candidate.digest == candidate.digest);
-            let (since, news) = held.map_or((now, true), |h| (h.since, false));
+            let (since, is_first_report) = held.map_or((now, true), |h| (h.since, false));
             let until = since + self.shrink_limit.hold;
             if now < until {
                 self.held = Some(Held { candidate, since });
-                return OfferOutcome::Held { until, dropped, of, news };
+                return OfferOutcome::Held { until, dropped, total, is_first_report };
             }
         }
         self.accept(now, candidate)
--- a/src/roster/tests.rs
+++ b/src/roster/tests.rs
@@ -37,7 +37,7 @@
 fn roster(servers: Vec<ListedServer>) -> Roster {
     let mut roster = Roster::new(SHRINK_LIMIT);
     let first = taken(roster.offer(at_seconds(0), candidate(1, servers)));
-    assert_eq!((first.generation, first.news.kind), (1, ListKind::Complete));
+    assert_eq!((first.generation, first.update.kind), (1, ListKind::Complete));
     roster
 }
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_generation_tells_what_changed_once_and_nothing_else() {
+fn generation_reports_each_change_once() {
     let mut roster = roster(vec![listed_server("a", 1), listed_server("b", 2), listed_server("c", 3)]);
     let mut heavy = listed_server("b", 2);
     heavy.entry.weight = 2.0;
@@ -54,8 +54,8 @@
         vec![listed_server("a", 1), heavy.clone(), with_state(listed_server("c", 3), ServerState::Draining)];
     let second = taken(roster.offer(at_seconds(1), candidate(2, list.clone())));
     assert_eq!((second.generation, second.added, second.changed, second.removed), (2, 0, 2, 0));
-    assert_eq!(second.news.kind, ListKind::Changes);
-    assert_eq!(states(&second.news), [("b", ServerState::Ready), ("c", ServerState::Draining)]);
+    assert_eq!(second.update.kind, ListKind::Changes);
+    assert_eq!(states(&second.update), [("b", ServerState::Ready), ("c", ServerState::Draining)]);
     assert_eq!(roster.offer(at_seconds(2), candidate(2, list.clone())), OfferOutcome::Same);
     assert_eq!(
         roster.offer(at_seconds(2), candidate(3, list)),
@@ -66,11 +66,11 @@
 }
 
 #[test]
-fn a_server_that_is_dropped_drains_and_is_gone_once_its_sessions_are_over() {
+fn dropped_server_drains_until_its_sessions_end() {
     let mut roster = roster(vec![listed_server("a", 1), listed_server("b", 2), listed_server("c", 3)]);
     let second =
         taken(roster.offer(at_seconds(1), candidate(2, vec![listed_server("a", 1), listed_server("c", 3)])));
-    assert_eq!(states(&second.news), [("b", ServerState::Draining)]);
+    assert_eq!(states(&second.update), [("b", ServerState::Draining)]);
     assert_eq!((second.servers, second.removed, roster.leaving()), (2, 1, 1));
     assert_eq!(roster.remove_departed(at_seconds(5), |_| false), None, "late answers may still come");
     assert_eq!(roster.next_due(), Some(at_seconds(31)));
@@ -81,16 +81,16 @@
 }
 
 #[test]
-fn a_dropped_server_that_comes_back_is_the_same_one_at_the_same_address() {
+fn dropped_server_returning_at_same_address_counts_as_the_same() {
     let mut roster = roster(vec![listed_server("a", 1), listed_server("b", 2), listed_server("c", 3)]);
     roster.offer(at_seconds(1), candidate(2, vec![listed_server("a", 1), listed_server("c", 3)]));
     let third = taken(roster.offer(
         at_seconds(2),
         candidate(3, vec![listed_server("a", 1), listed_server("b", 2), listed_server("c", 3)]),
     ));
-    assert_eq!(states(&third.news), [("b", ServerState::Ready)]);
+    assert_eq!(states(&third.update), [("b", ServerState::Ready)]);
     assert_eq!(
-        (third.news.servers[0].entry.up_since, roster.leaving()),
+        (third.update.servers[0].entry.up_since, roster.leaving()),
         (None, 0),
         "it was warm all the time"
     );
@@ -98,7 +98,7 @@
 
 /// Seen in a review: a server that a list dropped and the next one calls draining was let go for good.
 #[test]
-fn a_dropped_server_that_the_next_list_calls_draining_is_not_let_go() {
+fn dropped_server_relisted_as_draining_is_not_removed() {
     let mut roster = roster(vec![listed_server("a", 1), listed_server("b", 2), listed_server("c", 3)]);
     roster.offer(at_seconds(1), candidate(2, vec![listed_server("a", 1), listed_server("c", 3)]));
     let list = vec![
@@ -112,30 +112,30 @@
 
 /// "A new edge server may have the address of one that has gone", and an id may come back elsewhere.
 #[test]
-fn another_address_or_another_id_makes_a_new_server() {
+fn changed_address_or_id_makes_a_new_server() {
     let mut roster = roster(vec![listed_server("a", 1), listed_server("b", 2), listed_server("c", 3)]);
     let moved = taken(roster.offer(
         at_seconds(1),
         candidate(2, vec![listed_server("a", 9), listed_server("b", 2), listed_server("c", 3)]),
     ));
     assert_eq!(
-        (moved.added, moved.news.servers[0].entry.up_since),
+        (moved.added, moved.update.servers[0].entry.up_since),
         (1, Some(at_seconds(1))),
         "cold, as far as is known"
     );
     let list = vec![listed_server("a", 9), listed_server("b", 2), listed_server("d", 3)];
     let renamed = taken(roster.offer(at_seconds(2), candidate(3, list)));
-    assert_eq!(states(&renamed.news), [("c", ServerState::Gone), ("d", ServerState::Ready)]);
-    assert_eq!(renamed.news.servers[1].entry.up_since, Some(at_seconds(2)));
+    assert_eq!(states(&renamed.update), [("c", ServerState::Gone), ("d", ServerState::Ready)]);
+    assert_eq!(renamed.update.servers[1].entry.up_since, Some(at_seconds(2)));
     // Two that change places are both new.
     let swapped = vec![listed_server("a", 2), listed_server("b", 9), listed_server("d", 3)];
     let swapped = taken(roster.offer(at_seconds(3), candidate(4, swapped)));
-    let starts: Vec<_> = swapped.news.servers.iter().map(|l| l.entry.up_since).collect();
+    let starts: Vec<_> = swapped.update.servers.iter().map(|l| l.entry.up_since).collect();
     assert_eq!(starts, [Some(at_seconds(3)), Some(at_seconds(3))]);
 }
 
 #[test]
-fn a_start_that_the_list_tells_goes_before_what_is_guessed() {
+fn listed_start_time_overrides_inferred_start_time() {
     let mut roster = roster(vec![listed_server("a", 1)]);
     let told = |id: &str, port, at| {
         let mut line = listed_server(id, port);
@@ -149,12 +149,12 @@
         listed_server("d", 4),
     ];
     let second = taken(roster.offer(at_seconds(5), candidate(2, list)));
-    let starts: Vec<_> = second.news.servers.iter().map(|l| l.entry.up_since).collect();
+    let starts: Vec<_> = second.update.servers.iter().map(|l| l.entry.up_since).collect();
     assert_eq!(starts, [Some(at_seconds(0)), None, Some(at_seconds(5))]);
 }
 
 #[test]
-fn a_list_that_drops_too_much_waits_until_it_has_stood() {
+fn holds_list_that_drops_too_many_servers_until_hold_time_passes() {
     let all: Vec<ListedServer> = (1..=4).map(|n| listed_server(&format!("s{n}"), n)).collect();
     let mut roster = roster(all.clone());
     let half = candidate(2, all[..2].to_vec());
@@ -163,16 +163,16 @@
         "half is not more than half"
     );
     let few = candidate(3, all[..1].to_vec());
-    let held = OfferOutcome::Held { until: at_seconds(61), dropped: 3, of: 4, news: true };
+    let held = OfferOutcome::Held { until: at_seconds(61), dropped: 3, total: 4, is_first_report: true };
     assert_eq!(roster.offer(at_seconds(1), few.clone()), held);
-    let again = OfferOutcome::Held { until: at_seconds(61), dropped: 3, of: 4, news: false };
+    let again = OfferOutcome::Held { until: at_seconds(61), dropped: 3, total: 4, is_first_report: false };
     assert_eq!(roster.offer(at_seconds(30), few.clone()), again, "the same content goes on standing");
     assert_eq!((roster.tick(at_seconds(60)), roster.next_due()), (None, Some(at_seconds(61))));
     // Another one starts anew.
     let other = candidate(4, all[1..2].to_vec());
     assert_eq!(
         roster.offer(at_seconds(40), other),
-        OfferOutcome::Held { until: at_seconds(100), dropped: 3, of: 4, news: true }
+        OfferOutcome::Held { until: at_seconds(100), dropped: 3, total: 4, is_first_report: true }
     );
     roster.discard_held();
     assert_eq!(
@@ -188,14 +188,14 @@
 }
 
 #[test]
-fn an_older_revision_is_refused_and_the_list_stays() {
+fn rejects_older_revision_and_keeps_current_list() {
     let mut roster = Roster::new(SHRINK_LIMIT);
     let revised =
         |n: u8, revision| Candidate { revision, ..candidate(n, vec![listed_server("a", u16::from(n))]) };
     taken(roster.offer(at_seconds(0), revised(1, Some(7))));
     assert_eq!(
         roster.offer(at_seconds(1), revised(2, Some(6))),
-        OfferOutcome::Older { revision: 6, than: 7 }
+        OfferOutcome::Older { revision: 6, in_use: 7 }
     );
     assert_eq!(roster.current().number, 1);
     taken(roster.offer(at_seconds(2), revised(3, Some(7))));
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_source_that_knows_more_keeps_the_list_once_it_has_spoken() {
+fn higher_ranked_source_keeps_the_list_after_its_first_update() {
     let mut roster = Roster::new(SHRINK_LIMIT);
     taken(roster.apply_update(
         at_seconds(0),
@@ -222,7 +222,7 @@
         Source::Registry,
         complete_list(vec![listed_server("c", 3), listed_server("d", 4)]),
     ));
-    let told = states(&registry.news);
+    let told = states(&registry.update);
     assert!(
         told.contains(&("a", ServerState::Draining)) && told.contains(&("d", ServerState::Ready)),
         "{told:?}"
@@ -237,11 +237,11 @@
         Source::Registry,
         complete_list(vec![listed_server("d", 4)]),
     ));
-    assert!(states(&next.news).contains(&("c", ServerState::Gone)));
+    assert!(states(&next.update).contains(&("c", ServerState::Gone)));
 }
 
 #[test]
-fn changes_are_taken_line_by_line_and_told_once() {
+fn applies_partial_update_and_reports_each_change_once() {
     let mut roster = Roster::new(SHRINK_LIMIT);
     taken(roster.apply_update(
         at_seconds(0),
@@ -251,31 +251,31 @@
     let changes = |servers| ListUpdate { kind: ListKind::Changes, servers };
     let gone = changes(vec![with_state(listed_server("b", 2), ServerState::Gone), listed_server("a", 1)]);
     let taken = taken(roster.apply_update(at_seconds(1), Source::Board, gone.clone()));
-    assert_eq!(states(&taken.news), [("b", ServerState::Gone)]);
+    assert_eq!(states(&taken.update), [("b", ServerState::Gone)]);
     assert_eq!(roster.apply_update(at_seconds(2), Source::Board, gone), OfferOutcome::Same);
 }
 
 #[test]
-fn a_list_that_was_kept_goes_on_with_its_number_and_its_starts() {
+fn restored_list_continues_generation_number_and_start_times() {
     let mut roster = Roster::new(SHRINK_LIMIT);
     let started = BTreeMap::from([("b".to_owned(), at_seconds(0))]);
     let list = vec![listed_server("a", 1), listed_server("b", 2)];
     let restored = taken(roster.restore(at_seconds(9), 41, candidate(1, list.clone()), &started));
-    assert_eq!((restored.generation, restored.news.kind), (41, ListKind::Complete));
-    assert_eq!(restored.news.servers[1].entry.up_since, Some(at_seconds(0)));
+    assert_eq!((restored.generation, restored.update.kind), (41, ListKind::Complete));
+    assert_eq!(restored.update.servers[1].entry.up_since, Some(at_seconds(0)));
     assert_eq!(roster.offer(at_seconds(10), candidate(1, list)), OfferOutcome::Same);
     let next = taken(roster.offer(
         at_seconds(11),
         candidate(2, vec![listed_server("a", 1), listed_server("b", 2), listed_server("c", 3)]),
     ));
-    assert_eq!((next.generation, next.news.servers.len()), (42, 1));
-    assert_eq!(next.news.servers[0].entry.up_since, Some(at_seconds(11)), "new since what was kept");
+    assert_eq!((next.generation, next.update.servers.len()), (42, 1));
+    assert_eq!(next.update.servers[0].entry.up_since, Some(at_seconds(11)), "new since what was kept");
 }
 
 /// Whatever sources say in whatever order, what the node was told adds up to what the roster holds, each change is
 /// told once, and no two servers that run are at one address in a watched list.
 #[test]
-fn what_was_told_adds_up_to_the_list() {
+fn reported_updates_add_up_to_the_list() {
     use proptest::prelude::*;
     let step = (0u8..4, proptest::collection::btree_map(0u8..6, (0u16..8, 0u8..3), 0..6), 0u64..50);
     let steps = proptest::collection::vec(step, 1..40);
@@ -294,13 +294,13 @@
                 .collect();
             let news = match kind {
                 0 => match roster.offer(at_seconds(now), Candidate { digest: Digest([i as u8; 32]), revision: None, servers }) {
-                    OfferOutcome::Taken(t) => Some(t.news),
+                    OfferOutcome::Taken(t) => Some(t.update),
                     _ => None,
                 },
-                1 => match roster.tick(at_seconds(now)) { Some(OfferOutcome::Taken(t)) => Some(t.news), _ => None },
+                1 => match roster.tick(at_seconds(now)) { Some(OfferOutcome::Taken(t)) => Some(t.update), _ => None },
                 2 => roster.remove_departed(at_seconds(now), |id| id.0.ends_with('3')),
                 _ => match roster.apply_update(at_seconds(now), Source::Fixed, ListUpdate { kind: ListKind::Changes, servers }) {
-                    OfferOutcome::Taken(t) => Some(t.news),
+                    OfferOutcome::Taken(t) => Some(t.update),
                     _ => None,
                 },
             };
