--- a/src/broker/guard.rs
+++ b/src/broker/guard.rs
@@ -94,7 +94,7 @@
     use super::*;
 
     #[test]
-    fn a_paid_set_up_that_may_have_run_is_neither_sent_again_nor_refused() {
+    fn unsafe_set_up_that_may_have_run_is_neither_resent_nor_refused() {
         let mut guard = Guard::default();
         let to = ServerId::new("s-1");
         guard.update_servers(ListKind::Complete, &[ServerEntry::new(to.clone(), ServerState::Ready, 0)]);
@@ -109,7 +109,7 @@
     }
 
     #[test]
-    fn nothing_new_goes_to_a_server_that_left_the_list() {
+    fn sends_nothing_to_draining_or_unlisted_server() {
         let mut guard = Guard::default();
         let (a, b) = (ServerId::new("a"), ServerId::new("b"));
         let entry = |id: &ServerId, state| ServerEntry::new(id.clone(), state, 0);
--- a/src/broker/late.rs
+++ b/src/broker/late.rs
@@ -57,7 +57,7 @@
 
     /// Guards against memory that grows with every set-up that is withdrawn.
     #[test]
-    fn the_newest_are_remembered_for_a_while_and_answer_once() {
+    fn keeps_newest_attempts_until_expiry_and_matches_each_once() {
         let (mut withdrawn, server) = (WithdrawnAttempts::default(), ServerId::new("s"));
         for n in 0..10_000 {
             withdrawn.insert(Micros(n), SessionId(n), &server);
--- a/src/broker/sessions/tests.rs
+++ b/src/broker/sessions/tests.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn counts_and_index_agree_with_a_walk_after_every_change() {
+fn counts_and_index_match_full_scan_after_every_change() {
     let (mut table, mut state) = (SessionTable::default(), 7);
     let mut max_established = 0;
     for _ in 0..STEPS {
--- a/tests/broker.rs
+++ b/tests/broker.rs
@@ -5,8 +5,8 @@
 
 use amberspindle::broker::{Broker, DecisionModule, Effect, Input, SetUp};
 
-const PAID: usize = 0;
-const CLIP: usize = 1;
+const PAID_CLASS: usize = 0;
+const CLIP_CLASS: usize = 1;
 
 fn ms(x: u64) -> Micros {
     Micros(x * 1000)
@@ -23,54 +23,54 @@
         let mut s = Settings::new(vec![100.0, 200.0], vec![0.4, 1.0]);
         (s.cells, s.racks, s.link_unit_kb, s.rack_kb, s.max_attempts) = (3, 1, 1e5, 3e5, 4);
         (s.tick, s.max_retry_after) = (ms(10), ms(500));
-        let class = |effect| Class::new(ms(1000), ms(2000), effect);
+        let class = |idempotency| Class::new(ms(1000), ms(2000), idempotency);
         s.classes = vec![class(Idempotency::Unsafe), class(Idempotency::Safe)];
         let mut core = Core { broker: Broker::new(s, 7), now: ms(1_000_000) };
         let entry = |n| ServerEntry::new(server(n), ServerState::Ready, n);
-        core.tell(Input::Servers { kind: ListKind::Complete, servers: (0..servers).map(entry).collect() });
+        core.handle(Input::Servers { kind: ListKind::Complete, servers: (0..servers).map(entry).collect() });
         core
     }
 
-    fn tell(&mut self, input: Input) -> Vec<Effect> {
+    fn handle(&mut self, input: Input) -> Vec<Effect> {
         let mut out = Vec::new();
         self.broker.handle(self.now, input, &mut out);
-        let mut told = 0;
+        let mut handled = 0;
         // The end of an attempt is written at once here.
-        while told < out.len() {
-            if let Effect::Withdraw(id, server) = &out[told] {
+        while handled < out.len() {
+            if let Effect::Withdraw(id, server) = &out[handled] {
                 let written = Input::Withdrawn { id: *id, server: server.clone() };
                 self.broker.handle(self.now, written, &mut out);
             }
-            told += 1;
+            handled += 1;
         }
         out
     }
 
-    fn ask(&mut self, id: u64, class: usize) -> Vec<Effect> {
+    fn request(&mut self, id: u64, class: usize) -> Vec<Effect> {
         let mut request = Request::new(SessionId(id), Text::from("t"), self.now + ms(2000), 3, 1);
         request.class = class;
-        self.tell(Input::Request(request, b"offer"[..].into()))
+        self.handle(Input::Request(request, b"offer"[..].into()))
     }
 
     /// Lets time pass, alarms going off.
-    fn pass(&mut self, span: Micros) -> Vec<Effect> {
+    fn advance(&mut self, span: Micros) -> Vec<Effect> {
         let (end, mut out) = (self.now + span, Vec::new());
         while let Some(at) = self.broker.next_alarm().filter(|at| *at <= end) {
             self.now = self.now.max(at);
-            out.extend(self.tell(Input::Tick));
+            out.extend(self.handle(Input::Tick));
         }
         self.now = end;
         out
     }
 
-    fn over(&mut self, id: u64, at: &ServerId, status: Status) -> Vec<Effect> {
+    fn end_at_server(&mut self, id: u64, at: &ServerId, status: Status) -> Vec<Effect> {
         let (id, server, load) = (SessionId(id), at.clone(), Load::default());
-        self.tell(Input::Ended { id, server, status, load })
+        self.handle(Input::Ended { id, server, status, load })
     }
 
-    fn stands(&mut self, id: u64, at: &ServerId) -> Vec<Effect> {
+    fn establish(&mut self, id: u64, at: &ServerId) -> Vec<Effect> {
         let (id, server) = (SessionId(id), at.clone());
-        self.tell(Input::Established { id, server, answer: b"answer"[..].into() })
+        self.handle(Input::Established { id, server, answer: b"answer"[..].into() })
     }
 }
 
@@ -90,26 +90,26 @@
 }
 
 #[test]
-fn a_request_is_sent_with_its_rung_and_answered_once() {
+fn sends_request_with_its_rung_and_answers_once() {
     let mut core = Core::new(3);
-    let set_up = sent(&core.ask(1, CLIP)).remove(0);
+    let set_up = sent(&core.request(1, CLIP_CLASS)).remove(0);
     assert_eq!((set_up.attempt, &*set_up.offer, set_up.rung), (0, &b"offer"[..], Some(Rung(1))));
-    let out = core.stands(1, &set_up.server);
+    let out = core.establish(1, &set_up.server);
     assert_eq!(answers(&out), [&Effect::Established(SessionId(1), b"answer"[..].into())]);
-    assert!(answers(&core.pass(ms(5000))).is_empty());
-    let out = core.over(1, &set_up.server, Status::Completed);
+    assert!(answers(&core.advance(ms(5000))).is_empty());
+    let out = core.end_at_server(1, &set_up.server, Status::Completed);
     assert_eq!(out, [Effect::Ended(SessionId(1), Status::Completed)]);
     assert!(!core.broker.has_session(SessionId(1)));
 }
 
 #[test]
-fn a_paid_set_up_is_resent_after_proof_and_fails_without() {
+fn retries_paid_set_up_after_saturation_and_fails_it_after_reset() {
     let mut core = Core::new(3);
-    let first = sent(&core.ask(1, PAID)).remove(0);
-    let out = core.over(1, &first.server, Status::Saturated);
+    let first = sent(&core.request(1, PAID_CLASS)).remove(0);
+    let out = core.end_at_server(1, &first.server, Status::Saturated);
     let second = sent(&out).remove(0);
     assert_eq!((second.attempt, second.server == first.server), (1, false));
-    let out = core.over(1, &second.server, Status::Reset);
+    let out = core.end_at_server(1, &second.server, Status::Reset);
     assert!(sent(&out).is_empty());
     assert!(
         matches!(answers(&out)[..], [Effect::Failed(SessionId(1), why)] if why.may_have_run && !why.deadline_passed)
@@ -117,24 +117,24 @@
 }
 
 #[test]
-fn a_silent_server_costs_a_paid_request_its_deadline_and_a_late_answer_is_released() {
+fn fails_paid_request_at_deadline_and_releases_late_answer_when_server_is_silent() {
     let mut core = Core::new(3);
-    let first = sent(&core.ask(1, PAID)).remove(0);
-    let out = core.pass(ms(2000));
+    let first = sent(&core.request(1, PAID_CLASS)).remove(0);
+    let out = core.advance(ms(2000));
     assert!(
         matches!(answers(&out)[..], [Effect::Failed(SessionId(1), why)] if why.may_have_run && why.deadline_passed)
     );
     assert!(out.contains(&Effect::Withdraw(SessionId(1), first.server.clone())));
-    let late = core.stands(1, &first.server);
+    let late = core.establish(1, &first.server);
     assert_eq!(late, [Effect::Release(SessionId(1), first.server)]);
 }
 
 #[test]
-fn attempts_never_overlap_and_end_by_the_deadline() {
+fn attempts_never_overlap_and_end_by_deadline() {
     let mut core = Core::new(3);
-    let mut out = core.ask(1, CLIP);
+    let mut out = core.request(1, CLIP_CLASS);
     let start = core.now;
-    out.extend(core.pass(ms(3000)));
+    out.extend(core.advance(ms(3000)));
     let mut open = 0;
     for effect in &out {
         match effect {
@@ -153,58 +153,58 @@
 }
 
 #[test]
-fn with_no_server_each_request_still_gets_its_one_answer() {
+fn refuses_request_once_when_no_server_is_listed() {
     let mut core = Core::new(0);
-    let mut out = core.ask(1, PAID);
-    out.extend(core.pass(ms(3000)));
+    let mut out = core.request(1, PAID_CLASS);
+    out.extend(core.advance(ms(3000)));
     assert_eq!(answers(&out), [&Effect::Refused(SessionId(1), ms(500))], "and told when to come back");
 }
 
 #[test]
-fn a_client_that_leaves_gives_the_attempt_up_and_is_owed_nothing() {
+fn withdraws_attempt_without_answer_when_client_leaves() {
     let mut core = Core::new(3);
-    let first = sent(&core.ask(1, PAID)).remove(0);
-    let mut out = core.tell(Input::ClientLeft(SessionId(1)));
+    let first = sent(&core.request(1, PAID_CLASS)).remove(0);
+    let mut out = core.handle(Input::ClientLeft(SessionId(1)));
     assert_eq!(out, [Effect::Withdraw(SessionId(1), first.server.clone())]);
-    out.extend(core.pass(ms(3000)));
+    out.extend(core.advance(ms(3000)));
     assert!(answers(&out).is_empty());
-    assert_eq!(core.stands(1, &first.server), [Effect::Release(SessionId(1), first.server)]);
+    assert_eq!(core.establish(1, &first.server), [Effect::Release(SessionId(1), first.server)]);
     // And one that plays is cut at its server.
-    let set_up = sent(&core.ask(2, CLIP)).remove(0);
-    core.stands(2, &set_up.server);
-    assert_eq!(core.tell(Input::ClientLeft(SessionId(2))), [Effect::Release(SessionId(2), set_up.server)]);
+    let set_up = sent(&core.request(2, CLIP_CLASS)).remove(0);
+    core.establish(2, &set_up.server);
+    assert_eq!(core.handle(Input::ClientLeft(SessionId(2))), [Effect::Release(SessionId(2), set_up.server)]);
 }
 
 #[test]
-fn what_stood_at_a_lost_server_is_over() {
+fn ends_established_sessions_when_server_is_lost() {
     let mut core = Core::new(1);
     let (open, at) = (Request::new(SessionId(9), Text::from("t"), core.now, 3, 1), server(0));
-    core.tell(Input::ExistingSession(open, at.clone()));
+    core.handle(Input::ExistingSession(open, at.clone()));
     assert!(core.broker.is_established_at(SessionId(9), &at));
     assert_eq!(
-        core.tell(Input::ServerLost(at)),
+        core.handle(Input::ServerLost(at)),
         [Effect::Ended(SessionId(9), Status::Reset), Effect::Log("distrust s-0: connection broke".into()),]
     );
 }
 
 #[test]
-fn what_stands_at_the_end_of_the_broker_is_released_on_both_sides() {
+fn releases_established_sessions_on_shutdown() {
     let mut core = Core::new(1);
-    let set_up = sent(&core.ask(1, PAID)).remove(0);
-    core.stands(1, &set_up.server);
-    let out = core.tell(Input::Shutdown);
+    let set_up = sent(&core.request(1, PAID_CLASS)).remove(0);
+    core.establish(1, &set_up.server);
+    let out = core.handle(Input::Shutdown);
     assert!(out.contains(&Effect::Release(SessionId(1), set_up.server)));
     assert!(out.contains(&Effect::Ended(SessionId(1), Status::Reset)));
     assert_eq!((core.broker.established(), core.broker.unanswered()), (0, 0));
 }
 
 #[test]
-fn nothing_new_goes_to_a_draining_server() {
+fn sends_no_set_up_to_draining_server() {
     let mut core = Core::new(1);
-    let drains = ServerEntry::new(server(0), ServerState::Draining, 0);
-    core.tell(Input::Servers { kind: ListKind::Changes, servers: vec![drains] });
-    let mut out = core.ask(1, CLIP);
-    out.extend(core.pass(ms(3000)));
+    let draining = ServerEntry::new(server(0), ServerState::Draining, 0);
+    core.handle(Input::Servers { kind: ListKind::Changes, servers: vec![draining] });
+    let mut out = core.request(1, CLIP_CLASS);
+    out.extend(core.advance(ms(3000)));
     assert!(sent(&out).is_empty());
     assert_eq!(answers(&out).len(), 1);
 }
@@ -239,7 +239,7 @@
 /// Whatever the module does, the core keeps the rules: one answer, one attempt out, a paid session neither sent
 /// again nor refused once it may have run, no send to a server that drains.
 #[test]
-fn the_rules_hold_round_a_module_that_errs() {
+fn safety_rules_hold_with_erratic_module() {
     let mut rng = fastrand::Rng::with_seed(0xbad);
     let module = |seed| -> Box<dyn DecisionModule> { Box::new(Erratic(fastrand::Rng::with_seed(seed))) };
     let broker = Broker::with_module(vec![Idempotency::Unsafe, Idempotency::Safe], 4, 1, Box::new(module));
@@ -248,7 +248,7 @@
         let state = if n == 3 { ServerState::Draining } else { ServerState::Ready };
         ServerEntry::new(server(n), state, n)
     });
-    core.tell(Input::Servers { kind: ListKind::Complete, servers: list.collect() });
+    core.handle(Input::Servers { kind: ListKind::Complete, servers: list.collect() });
     let (mut asked, mut answered, mut left) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
     let (mut out, mut ran, mut sent_to) = (BTreeMap::new(), BTreeSet::new(), BTreeMap::<u64, u32>::new());
     let mut panics = 0;
@@ -258,7 +258,7 @@
             0 => {
                 left.insert(id);
                 out.remove(&id);
-                core.tell(Input::ClientLeft(SessionId(id)))
+                core.handle(Input::ClientLeft(SessionId(id)))
             }
             1..=4 => match out.get(&id).cloned() {
                 None => Vec::new(),
@@ -271,21 +271,23 @@
                             if !ends[i].never_ran() {
                                 ran.insert(id);
                             }
-                            core.over(id, &at, ends[i])
+                            core.end_at_server(id, &at, ends[i])
                         }
                         _ => {
                             ran.insert(id);
-                            core.stands(id, &at)
+                            core.establish(id, &at)
                         }
                     }
                 }
             },
-            5 => core.pass(ms(rng.u64(..500))),
-            _ if n % 10 < 5 && asked.insert(id) => core.ask(id, if id % 2 == 0 { PAID } else { CLIP }),
+            5 => core.advance(ms(rng.u64(..500))),
+            _ if n % 10 < 5 && asked.insert(id) => {
+                core.request(id, if id % 2 == 0 { PAID_CLASS } else { CLIP_CLASS })
+            }
             _ => Vec::new(),
         };
         if n == 3999 {
-            effects.extend(core.pass(ms(10_000)));
+            effects.extend(core.advance(ms(10_000)));
         }
         for effect in effects {
             match effect {
@@ -316,78 +318,83 @@
             }
         }
     }
-    let owed: Vec<&u64> = asked.iter().filter(|id| !answered.contains(id) && !left.contains(id)).collect();
-    assert!(owed.is_empty(), "no answer: {owed:?}");
+    let unanswered: Vec<&u64> =
+        asked.iter().filter(|id| !answered.contains(id) && !left.contains(id)).collect();
+    assert!(unanswered.is_empty(), "no answer: {unanswered:?}");
     assert!(panics > 10 && answered.len() > 200, "{panics} {}", answered.len());
 }
 
 /// Guards against a paid set-up that runs twice because its client's connection was reset and it was sent again.
 #[test]
-fn a_paid_request_sent_again_under_its_id_after_it_may_have_run_is_not_set_up_again() {
+fn fails_paid_request_repeated_under_its_id_after_it_may_have_run() {
     let mut core = Core::new(3);
-    let first = sent(&core.ask(1, PAID)).remove(0);
-    assert_eq!(core.tell(Input::ClientLeft(SessionId(1))), [Effect::Withdraw(SessionId(1), first.server)]);
-    let mut out = core.ask(1, PAID);
-    out.extend(core.pass(ms(3000)));
+    let first = sent(&core.request(1, PAID_CLASS)).remove(0);
+    assert_eq!(core.handle(Input::ClientLeft(SessionId(1))), [Effect::Withdraw(SessionId(1), first.server)]);
+    let mut out = core.request(1, PAID_CLASS);
+    out.extend(core.advance(ms(3000)));
     assert!(sent(&out).is_empty(), "it was set up again");
     assert!(matches!(answers(&out)[..], [Effect::Failed(SessionId(1), why)] if why.may_have_run));
     // What may be repeated is, and so is what never ran.
-    sent(&core.ask(2, CLIP));
-    core.tell(Input::ClientLeft(SessionId(2)));
-    assert_eq!(sent(&core.ask(2, CLIP)).len(), 1);
-    core.tell(Input::ClientLeft(SessionId(2)));
+    sent(&core.request(2, CLIP_CLASS));
+    core.handle(Input::ClientLeft(SessionId(2)));
+    assert_eq!(sent(&core.request(2, CLIP_CLASS)).len(), 1);
+    core.handle(Input::ClientLeft(SessionId(2)));
     let mut none = Core::new(0);
-    none.ask(3, PAID);
-    none.tell(Input::ClientLeft(SessionId(3)));
-    let mut again = none.ask(3, PAID);
-    again.extend(none.pass(ms(3000)));
+    none.request(3, PAID_CLASS);
+    none.handle(Input::ClientLeft(SessionId(3)));
+    let mut again = none.request(3, PAID_CLASS);
+    again.extend(none.advance(ms(3000)));
     assert!(matches!(answers(&again)[..], [Effect::Refused(SessionId(3), _)]));
 }
 
 /// Seen on days with bad peers: answers come twice, or under ids that nobody asked for. Each was answered with a
 /// release, which ends the session of that id wherever it stands.
 #[test]
-fn only_attempts_that_were_given_up_are_released_when_they_answer_late() {
+fn releases_late_answers_only_to_withdrawn_attempts() {
     let mut core = Core::new(3);
-    let set_up = sent(&core.ask(1, CLIP)).remove(0);
-    assert!(core.stands(99, &set_up.server).is_empty(), "a stranger's id");
-    core.stands(1, &set_up.server);
-    assert!(core.stands(1, &set_up.server).is_empty(), "a second copy");
-    core.over(1, &set_up.server, Status::Completed);
-    assert!(core.stands(1, &set_up.server).is_empty(), "a second copy, late");
+    let set_up = sent(&core.request(1, CLIP_CLASS)).remove(0);
+    assert!(core.establish(99, &set_up.server).is_empty(), "a stranger's id");
+    core.establish(1, &set_up.server);
+    assert!(core.establish(1, &set_up.server).is_empty(), "a second copy");
+    core.end_at_server(1, &set_up.server, Status::Completed);
+    assert!(core.establish(1, &set_up.server).is_empty(), "a second copy, late");
     // One that was given up is released, once, and remembered for a while only.
     for id in [2, 3] {
-        let set_up = sent(&core.ask(id, PAID)).remove(0);
-        core.tell(Input::ClientLeft(SessionId(id)));
-        core.pass(ms(29_000 + 2000 * (id - 2)));
-        let late = core.stands(id, &set_up.server);
+        let set_up = sent(&core.request(id, PAID_CLASS)).remove(0);
+        core.handle(Input::ClientLeft(SessionId(id)));
+        core.advance(ms(29_000 + 2000 * (id - 2)));
+        let late = core.establish(id, &set_up.server);
         assert_eq!(late.len(), usize::from(id == 2), "{late:?}");
-        assert!(core.stands(id, &set_up.server).is_empty());
+        assert!(core.establish(id, &set_up.server).is_empty());
     }
 }
 
 /// Guards against memory that a flood of requests, or of sessions said to play, can use up. What is refused was
 /// never sent, so a paid one may be refused too; room that is free again is used again.
 #[test]
-fn what_there_is_no_room_for_is_refused_at_once() {
+fn refuses_requests_beyond_memory_limit() {
     let mut core = Core::new(3);
     core.broker = core.broker.with_memory_limit(10 * 1024 + 3 * 5, ms(400));
     let entry = |n| ServerEntry::new(server(n), ServerState::Ready, n);
-    core.tell(Input::Servers { kind: ListKind::Complete, servers: (0..3).map(entry).collect() });
+    core.handle(Input::Servers { kind: ListKind::Complete, servers: (0..3).map(entry).collect() });
     let refused = |id| Effect::Refused(SessionId(id), ms(400));
-    let to: Vec<SetUp> = (0..3).flat_map(|id| sent(&core.ask(id, PAID))).collect();
+    let to: Vec<SetUp> = (0..3).flat_map(|id| sent(&core.request(id, PAID_CLASS))).collect();
     assert_eq!(to.len(), 3);
     let open = |id: u64| {
         let request = Request::new(SessionId(id), Text::from("t"), Micros(0), 3, 1);
         Input::ExistingSession(request, server(0))
     };
     for id in 10..17 {
-        assert!(answers(&core.tell(open(id))).is_empty());
+        assert!(answers(&core.handle(open(id))).is_empty());
     }
-    assert_eq!(core.tell(open(17)), [Effect::Ended(SessionId(17), Status::Reset)]);
-    assert_eq!(core.ask(3, PAID), [refused(3)]);
-    core.tell(Input::ClientLeft(SessionId(16)));
-    core.stands(0, &to[0].server);
-    assert_eq!(sent(&core.ask(4, PAID)).len(), 1, "a session that stands needs its description no more");
-    assert_eq!(core.ask(5, CLIP), [refused(5)]);
+    assert_eq!(core.handle(open(17)), [Effect::Ended(SessionId(17), Status::Reset)]);
+    assert_eq!(core.request(3, PAID_CLASS), [refused(3)]);
+    core.handle(Input::ClientLeft(SessionId(16)));
+    core.establish(0, &to[0].server);
+    assert_eq!(
+        sent(&core.request(4, PAID_CLASS)).len(),
+        1,
+        "a session that stands needs its description no more"
+    );
+    assert_eq!(core.request(5, CLIP_CLASS), [refused(5)]);
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -26,25 +26,25 @@
         let now = Micros(1_000_000_000);
         let mut core = Core { broker: Broker::new(settings, 7), now, due: now + DEADLINE };
         let listed = ServerEntry::new(server(), ServerState::Ready, 0);
-        core.tell(Input::Servers { kind: ListKind::Complete, servers: vec![listed] });
+        core.handle(Input::Servers { kind: ListKind::Complete, servers: vec![listed] });
         let request = Request::new(REQUEST, Text::from("t"), core.due, 1, 1);
-        let sent = core.tell(Input::Request(request, b"offer"[..].into()));
-        assert!(sent.iter().any(|effect| matches!(effect, Effect::SetUp(_))), "{sent:?}");
+        let effects = core.handle(Input::Request(request, b"offer"[..].into()));
+        assert!(effects.iter().any(|effect| matches!(effect, Effect::SetUp(_))), "{effects:?}");
         core
     }
 
-    fn tell(&mut self, input: Input) -> Vec<Effect> {
+    fn handle(&mut self, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.broker.handle(self.now, input, &mut effects);
         effects
     }
 
     /// Lets time pass until then, alarms going off.
-    fn pass_until(&mut self, end: Micros) -> Vec<Effect> {
+    fn advance_until(&mut self, end: Micros) -> Vec<Effect> {
         let mut effects = Vec::new();
         while let Some(at) = self.broker.next_alarm().filter(|at| *at <= end) {
             self.now = self.now.max(at);
-            effects.extend(self.tell(Input::Tick));
+            effects.extend(self.handle(Input::Tick));
         }
         self.now = end;
         effects
@@ -57,20 +57,20 @@
 }
 
 #[test]
-fn a_set_up_without_an_answer_is_told_as_out_of_time_whatever_the_tick() {
+fn reports_passed_deadline_when_set_up_has_no_answer_at_any_tick() {
     for tick_ms in [1, 10, 25, 50, 100, 200] {
         let mut core = Core::with_request(Micros(tick_ms * 1000));
-        let effects = core.pass_until(core.due + Micros(100_000));
+        let effects = core.advance_until(core.due + Micros(100_000));
         let expected = Failure { deadline_passed: true, may_have_run: true };
         assert_eq!(failures(&effects), [expected], "ticks of {tick_ms} ms");
     }
 }
 
 #[test]
-fn an_error_just_before_the_deadline_is_told_as_the_servers() {
+fn reports_server_failure_when_error_arrives_before_deadline() {
     let mut core = Core::with_request(Micros(1000));
-    assert_eq!(failures(&core.pass_until(core.due - Micros(80_000))), []);
+    assert_eq!(failures(&core.advance_until(core.due - Micros(80_000))), []);
     let (id, server, load) = (REQUEST, server(), Load::default());
-    let effects = core.tell(Input::Ended { id, server, status: Status::Errored, load });
+    let effects = core.handle(Input::Ended { id, server, status: Status::Errored, load });
     assert_eq!(failures(&effects), [Failure { deadline_passed: false, may_have_run: true }]);
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -16,7 +16,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
 /// Runs a property on cases from a fixed seed; nothing is kept between runs.
-fn cases<S: Strategy>(strategy: S, property: impl Fn(S::Value)) {
+fn check_cases<S: Strategy>(strategy: S, property: impl Fn(S::Value)) {
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
     runner
@@ -28,14 +28,14 @@
 }
 
 /// Hands bytes over in pieces cut at these places.
-fn cut(bytes: &[u8], cuts: &[usize], mut feed: impl FnMut(&[u8])) {
-    let mut at: Vec<usize> = cuts.iter().map(|c| c % (bytes.len() + 1)).collect();
-    at.extend([0, bytes.len()]);
-    at.sort_unstable();
-    at.windows(2).for_each(|w| feed(&bytes[w[0]..w[1]]));
+fn feed_in_pieces(bytes: &[u8], cuts: &[usize], mut feed: impl FnMut(&[u8])) {
+    let mut bounds: Vec<usize> = cuts.iter().map(|c| c % (bytes.len() + 1)).collect();
+    bounds.extend([0, bytes.len()]);
+    bounds.sort_unstable();
+    bounds.windows(2).for_each(|w| feed(&bytes[w[0]..w[1]]));
 }
 
-fn cuts() -> impl Strategy<Value = Vec<usize>> {
+fn cut_points() -> impl Strategy<Value = Vec<usize>> {
     vec(any::<usize>(), 0..8)
 }
 
@@ -56,16 +56,16 @@
 }
 
 #[test]
-fn binary_messages_survive_cuts() {
+fn decodes_binary_messages_split_at_any_byte() {
     let parameters = vec((any::<u8>(), vec(any::<u8>(), 0..300)), 0..5);
-    cases((vec((any::<u64>(), parameters), 1..6), cuts()), |(messages, cuts)| {
+    check_cases((vec((any::<u64>(), parameters), 1..6), cut_points()), |(messages, cuts)| {
         let build = |(id, parameters): &(u64, Vec<(u8, Vec<u8>)>)| {
             let start = binary::Builder::new(Kind::Note, SessionId(*id));
             parameters.iter().fold(start, |b, (code, value)| b.with(*code, value)).finish().unwrap()
         };
         let bytes: Vec<u8> = messages.iter().flat_map(build).collect();
         let (mut decoder, mut read) = (binary::Decoder::default(), 0);
-        cut(&bytes, &cuts, |piece| {
+        feed_in_pieces(&bytes, &cuts, |piece| {
             decoder.feed(piece);
             while let Some(packet) = decoder.next_packet().unwrap() {
                 let (id, parameters) = &messages[read];
@@ -82,15 +82,15 @@
 }
 
 #[test]
-fn lines_survive_cuts() {
-    cases((vec((any::<u64>(), any::<u8>(), ".{0,40}"), 1..6), cuts()), |(messages, cuts)| {
+fn decodes_json_lines_split_at_any_byte() {
+    check_cases((vec((any::<u64>(), any::<u8>(), ".{0,40}"), 1..6), cut_points()), |(messages, cuts)| {
         let line = |(id, cause, text): &(u64, u8, String)| {
             Line::new(Kind::Release, SessionId(*id)).cause(*cause).field("wait", text).sdp(text)
         };
         let lines: Vec<Line> = messages.iter().map(line).collect();
         let bytes: Vec<u8> = lines.iter().flat_map(|l| l.encode().unwrap()).collect();
         let (mut decoder, mut read) = (line::Decoder::default(), Vec::new());
-        cut(&bytes, &cuts, |piece| {
+        feed_in_pieces(&bytes, &cuts, |piece| {
             decoder.feed(piece);
             read.extend(std::iter::from_fn(|| decoder.next_line().unwrap()));
         });
@@ -99,8 +99,8 @@
 }
 
 #[test]
-fn requests_and_responses_survive_cuts() {
-    cases((vec((vec(any::<u8>(), 0..200), any::<bool>()), 1..4), cuts()), |(bodies, cuts)| {
+fn decodes_http_messages_split_at_any_byte() {
+    check_cases((vec((vec(any::<u8>(), 0..200), any::<bool>()), 1..4), cut_points()), |(bodies, cuts)| {
         let mut bytes = Vec::new();
         for (body, chunked) in &bodies {
             if *chunked {
@@ -115,7 +115,7 @@
             }
         }
         let (mut decoder, mut read) = (server::Decoder::default(), Vec::new());
-        cut(&bytes, &cuts, |piece| {
+        feed_in_pieces(&bytes, &cuts, |piece| {
             decoder.feed(piece);
             read.extend(std::iter::from_fn(|| decoder.next_request(200).unwrap()).map(|r| r.body));
         });
@@ -124,18 +124,18 @@
         let body = &bodies[0].0;
         let response = server::Response { status: 200, headers: vec![], body: body.clone() };
         let (mut reader, mut got) = (client::Reader::default(), Vec::new());
-        cut(&response.encode(true).concat(), &cuts, |piece| reader.feed(piece, &mut got).unwrap());
+        feed_in_pieces(&response.encode(true).concat(), &cuts, |piece| reader.feed(piece, &mut got).unwrap());
         assert_eq!((reader.status(), reader.done(false), &got), (Some(200), true, body));
     });
 }
 
 #[test]
-fn events_survive_cuts() {
-    cases((vec((any::<u32>(), "[a-z{}:\" ]{1,30}"), 1..6), cuts()), |(events, cuts)| {
+fn decodes_server_sent_events_split_at_any_byte() {
+    check_cases((vec((any::<u32>(), "[a-z{}:\" ]{1,30}"), 1..6), cut_points()), |(events, cuts)| {
         let text = |(id, data): &(u32, String)| format!(": alive\r\nid: {id}\ndata: {data}\nother\n\n");
         let bytes: Vec<u8> = events.iter().flat_map(|e| text(e).into_bytes()).collect();
         let (mut decoder, mut read) = (sse::Decoder::default(), Vec::new());
-        cut(&bytes, &cuts, |piece| decoder.feed(piece, &mut read).unwrap());
+        feed_in_pieces(&bytes, &cuts, |piece| decoder.feed(piece, &mut read).unwrap());
         let read: Vec<(String, String)> = read.into_iter().map(|e| (e.id.unwrap(), e.data)).collect();
         let sent: Vec<(String, String)> =
             events.into_iter().map(|(id, data)| (id.to_string(), data)).collect();
@@ -145,23 +145,23 @@
 
 /// Whatever comes, a parser gives a message or an error; it neither panics nor keeps more than its bound.
 #[test]
-fn garbage_is_an_error_or_waits() {
+fn garbage_yields_errors_or_incomplete_messages() {
     let settings = amberspindle::api::Settings::new(vec![1.0], vec![1.0]);
-    cases((garbage(), cuts()), |(bytes, cuts)| {
+    check_cases((garbage(), cut_points()), |(bytes, cuts)| {
         let (mut packets, mut viewer, mut requests) =
             (binary::Decoder::default(), Viewer::default(), server::Decoder::default());
         let (mut reader, mut events) = (client::Reader::default(), sse::Decoder::default());
         let (mut board, _) = Board::new(SettingNames::default(), &serde_json::Value::Null);
         board.request(Micros(0), "h");
         let mut links = Links::new(Timings::new(&settings, Micros(1), Micros(1)));
-        cut(&bytes, &cuts, |piece| {
+        feed_in_pieces(&bytes, &cuts, |piece| {
             packets.feed(piece);
             while let Ok(Some(packet)) = packets.next_packet() {
                 assert!(packet.cause().is_none() || packet.value(binary::code::CAUSE).is_some());
             }
             viewer.feed(piece);
-            while let Ok(Some(said)) = viewer.next(Micros(5), &SettingNames::default(), &settings) {
-                assert!(!matches!(said, ViewerMessage::SetUp(..)), "no class is known");
+            while let Ok(Some(message)) = viewer.next(Micros(5), &SettingNames::default(), &settings) {
+                assert!(!matches!(message, ViewerMessage::SetUp(..)), "no class is known");
             }
             requests.feed(piece);
             while let Ok(Some(request)) = requests.next_request(100) {
@@ -172,8 +172,8 @@
             let _ = reader.feed(piece, &mut body);
             let _ = events.feed(piece, &mut Vec::new());
             let _ = board.bytes(Micros(0), piece, &mut Vec::new());
-            let heard = links.bytes(Micros(5), ConnId(1), piece, &mut Vec::new()).1;
-            assert!(heard.is_empty(), "an unknown connection says nothing");
+            let messages = links.bytes(Micros(5), ConnId(1), piece, &mut Vec::new()).1;
+            assert!(messages.is_empty(), "an unknown connection says nothing");
         });
         let text = String::from_utf8_lossy(&bytes);
         let _ = load_report(&text);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn too_much_is_turned_away() {
+fn rejects_messages_over_size_limit() {
     let mut lines = line::Decoder::default();
     lines.feed(&vec![b' '; MAX_MESSAGE_BYTES]);
     assert_eq!(lines.next_line(), Err(Malformed::TooLarge));
