--- a/src/broker/alarms.rs
+++ b/src/broker/alarms.rs
@@ -1,38 +1,38 @@
-//! Alarms: what the core is to do when a time has come.
+//! The timer queue of the broker.
 
 use std::collections::BTreeSet;
 
 use crate::api::{Micros, SessionId};
 
-/// What falls due.
+/// What is to be done when a timer expires.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Alarm {
-    /// A timer of the decision module, by its token.
+    /// A timer of the decision module, with its token.
     ModuleTimer(u64),
-    /// The deadline of an attempt, by its number.
+    /// The deadline of an attempt, with the number of the attempt.
     AttemptDeadline(SessionId, u32),
-    /// An answer is overdue: the core itself gives it, should the decision module have kept silent.
+    /// An answer is overdue: the broker fails the request if the decision module has not answered it.
     DeadlineBackstop(SessionId),
 }
 
-/// The alarms by time. One that has become moot stays until it falls due.
+/// The pending alarms, ordered by time. An alarm that is no longer needed stays queued until it is due.
 #[derive(Debug, Default)]
 pub(super) struct Alarms {
     queue: BTreeSet<(Micros, Alarm)>,
 }
 
 impl Alarms {
-    /// Adds an alarm.
+    /// Adds an alarm that is due at `at`.
     pub fn schedule(&mut self, at: Micros, alarm: Alarm) {
         self.queue.insert((at, alarm));
     }
 
-    /// When the next one falls due.
+    /// The time of the next alarm.
     pub fn next(&self) -> Option<Micros> {
         self.queue.first().map(|(at, _)| *at)
     }
 
-    /// Takes the first alarm that is due.
+    /// Removes and returns the first alarm that is due.
     pub fn pop_due(&mut self, now: Micros) -> Option<Alarm> {
         if self.next()? > now {
             return None;
@@ -40,12 +40,12 @@
         self.queue.pop_first().map(|(_, alarm)| alarm)
     }
 
-    /// Drops the decision module's timers.
+    /// Removes all timers of the decision module.
     pub fn drop_module_timers(&mut self) {
         self.queue.retain(|(_, alarm)| !matches!(alarm, Alarm::ModuleTimer(_)));
     }
 
-    /// Alarms that are held.
+    /// The number of pending alarms.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
--- a/src/broker/answers.rs
+++ b/src/broker/answers.rs
@@ -1,28 +1,28 @@
-//! Final answers: a session stands, is refused or has failed; and how one that stood ends.
+//! Final answers to requests (established, refused or failed), and the end of established sessions.
 
 use super::{Broker, Description, Effect, Failure, Guard, Trigger};
 use crate::api::{Event, Load, Micros, ServerId, SessionId, Status};
 use crate::mutant::{self, Mutant};
 
-/// How a server, or its connection, ended an attempt or a session.
+/// The end of an attempt or a session, caused by a server or its connection.
 pub(super) struct ServerOutcome {
     /// The server.
     pub server: ServerId,
     /// How it ended.
     pub status: Status,
-    /// The server's report, if one came.
+    /// The load report of the server; the default if it sent none.
     pub load: Load,
 }
 
 impl ServerOutcome {
-    /// All that stood at the server is lost.
+    /// Returns the outcome of a lost server or connection.
     pub fn reset(server: ServerId) -> ServerOutcome {
         ServerOutcome { server, status: Status::Reset, load: Load::default() }
     }
 }
 
 impl Broker {
-    /// A server answered that a session stands there.
+    /// Handles an answer of a server that established a session.
     pub(super) fn session_established(
         &mut self,
         now: Micros,
@@ -36,8 +36,9 @@
         } else if !self.is_established_at(id, &server)
             && self.withdrawn_attempts.take_late_answer(now, id, &server)
         {
-            // A late answer to an attempt that was given up: nobody waits for it, and it must not play on. Other
-            // answers, as second copies or under ids of others, may concern sessions that stand elsewhere.
+            // A late answer to a withdrawn attempt: no client waits for it, so the session must be released. Other
+            // unexpected answers, such as duplicates or answers with foreign ids, are ignored, as releasing them
+            // could end sessions that are established elsewhere.
             out.push(Effect::Release(id, server));
         }
     }
@@ -49,7 +50,8 @@
         self.events.push_back(Event::SetUpDone { id, attempt: attempt.number, server: attempt.server, took });
     }
 
-    /// A server, or its connection, ended the attempt or the session; nothing happens if neither is there.
+    /// Handles the end of an attempt or a session caused by a server or its connection; does nothing if the server
+    /// has neither.
     pub(super) fn server_ended(
         &mut self,
         now: Micros,
@@ -79,14 +81,14 @@
         self.events.push_back(Event::Outcome { id, attempt, server, status, took, closed: true, load });
     }
 
-    /// A server was lost with all that stood there.
+    /// Ends all sessions that were established at a lost server.
     pub(super) fn server_lost(&mut self, now: Micros, server: ServerId, out: &mut Vec<Effect>) {
         for id in self.sessions.established_at(&server) {
             self.server_ended(now, id, ServerOutcome::reset(server.clone()), out);
         }
     }
 
-    /// Releases all that stands, at its servers and towards its clients.
+    /// Releases all established sessions, towards both their servers and their clients.
     pub(super) fn release_established(&mut self, now: Micros, out: &mut Vec<Effect>) {
         for id in self.sessions.established_ids() {
             let Some(server) = self.sessions.server_of(id).cloned() else { continue };
@@ -95,7 +97,7 @@
         }
     }
 
-    /// A session that stands is moved: taken off its server, so that its client comes again.
+    /// Moves an established session: releases it at its server, so that its client requests it again.
     pub(super) fn move_session(&mut self, id: SessionId, out: &mut Vec<Effect>) {
         let Some(placement) = self.sessions.remove_established(id) else { return };
         out.push(Effect::Moved(id));
@@ -103,7 +105,7 @@
         self.report_cancelled(id, placement);
     }
 
-    /// Refuses an unanswered request, or fails it if coming again could do harm.
+    /// Refuses an unanswered request, or fails it if a retry by the client would not be safe.
     pub(super) fn refuse(&mut self, now: Micros, id: SessionId, retry_after: Micros, out: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get(id).filter(|session| session.is_unanswered()) else { return };
         if !Guard::may_refuse(self.classes[session.request.class], session.history) {
@@ -113,7 +115,8 @@
         self.close_unanswered(now, id, out);
     }
 
-    /// The module fails a request. On a timer it does so only because the request's time is up.
+    /// Fails a request on behalf of the module. A module that fails a request on a timer does so because the deadline
+    /// of the request has passed.
     pub(super) fn fail_by_module(
         &mut self,
         now: Micros,
@@ -126,7 +129,7 @@
         self.fail(now, id, deadline_passed, out);
     }
 
-    /// The answer is overdue: no request may be left without one, even if the module forgot it.
+    /// Fails a request whose answer is overdue, so that each request is answered even if the module lost track of it.
     pub(super) fn deadline_backstop(&mut self, now: Micros, id: SessionId, out: &mut Vec<Effect>) {
         let is_unanswered = self.sessions.get(id).is_some_and(|session| session.is_unanswered());
         if is_unanswered && !mutant::on(Mutant::ForgottenDeadline) {
@@ -143,7 +146,7 @@
         self.close_unanswered(now, id, out);
     }
 
-    /// Forgets a request that has had its final answer.
+    /// Removes a request that has received its final answer.
     fn close_unanswered(&mut self, now: Micros, id: SessionId, out: &mut Vec<Effect>) {
         self.drop_attempt(now, id, Status::Cancelled, out);
         self.sessions.remove(id);
--- a/src/broker/attempts.rs
+++ b/src/broker/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at servers: sent, withdrawn, and given up at their deadlines.
+//! Attempts to set a session up at a server: sending, withdrawing and timing out.
 
 use super::alarms::Alarm;
 use super::sessions::{Attempt, Session, Stage};
@@ -7,8 +7,8 @@
 use crate::mutant::{self, Mutant};
 
 impl Broker {
-    /// Sends an attempt, or tells the module that it is moot if a hard rule forbids it. A timeout of zero lets it
-    /// run until the request's deadline.
+    /// Sends an attempt, or reports it to the module as moot if a safety rule forbids it. With a timeout of zero the
+    /// attempt may run until the deadline of the request.
     pub(super) fn send(
         &mut self,
         now: Micros,
@@ -36,7 +36,7 @@
             && self.guard.may_send(server, self.max_attempts, request.due, now, idempotency, session.history)
     }
 
-    /// The module hears of an attempt that was never sent; it counts as one all the same.
+    /// Reports to the module that an attempt was not sent. It still counts as an attempt.
     fn report_moot(&mut self, id: SessionId, server: ServerId) {
         let Some(session) = self.sessions.get_mut(id) else { return };
         let attempt = session.history.attempts;
@@ -52,8 +52,8 @@
         });
     }
 
-    /// Gives up the attempt that is out, if one is: its server is told. The module hears of the outcome, and may send the
-    /// next attempt, once that is written: see [`Broker::attempt_withdrawn`].
+    /// Withdraws the attempt in flight, if any. Once the withdrawal is written to the server, the module gets the
+    /// outcome and may send the next attempt: see [`Broker::attempt_withdrawn`].
     fn withdraw_attempt(&mut self, now: Micros, id: SessionId, status: Status, out: &mut Vec<Effect>) {
         let Some(attempt) = self.sessions.begin_withdrawal(id, status) else { return };
         self.withdrawn_attempts.insert(now, id, &attempt.server);
@@ -61,14 +61,14 @@
         self.events.push_back(Event::Withdrawing(id));
     }
 
-    /// The end of an attempt that was given up is written, or its connection is over.
+    /// Handles a withdrawal that has been written to its server, or whose connection has ended.
     pub(super) fn attempt_withdrawn(&mut self, now: Micros, id: SessionId, server: &ServerId) {
         if let Some((attempt, status)) = self.sessions.end_withdrawal(id, server) {
             self.report_outcome(now, id, attempt, status, false);
         }
     }
 
-    /// No answer is owed any more: gives up the attempt that is out, if one is.
+    /// Withdraws the attempt in flight, if any, of a request that no longer needs an answer.
     pub(super) fn drop_attempt(&mut self, now: Micros, id: SessionId, status: Status, out: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get(id) else { return };
         let attempt = match session.stage().clone() {
@@ -83,14 +83,15 @@
         self.report_outcome(now, id, attempt, status, true);
     }
 
-    /// The module hears of an attempt that ended without a server's word. `closed` says that no answer is owed any more.
+    /// Reports to the module an attempt that ended without an answer from the server. `closed` says that the request
+    /// no longer needs an answer.
     fn report_outcome(&mut self, now: Micros, id: SessionId, attempt: Attempt, status: Status, closed: bool) {
         let (took, load) = (now - attempt.sent_at, Load::default());
         let Attempt { server, number, .. } = attempt;
         self.events.push_back(Event::Outcome { id, attempt: number, server, status, took, closed, load });
     }
 
-    /// The module cancels an attempt; nothing happens if it is over.
+    /// Cancels an attempt on behalf of the module; does nothing if it has already ended.
     pub(super) fn cancel_attempt(&mut self, now: Micros, id: SessionId, number: u32, out: &mut Vec<Effect>) {
         let attempt = self.sessions.get(id).and_then(Session::attempt);
         if attempt.is_some_and(|attempt| attempt.number == number) {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// The deadline of an attempt has come; nothing happens if the attempt is over.
+    /// Withdraws an attempt whose deadline has passed; does nothing if it has already ended.
     pub(super) fn attempt_deadline(
         &mut self,
         now: Micros,
@@ -116,7 +117,7 @@
     }
 }
 
-/// The set-up that an attempt sends.
+/// Builds the set-up message of an attempt.
 fn set_up(session: &Session, attempt: &Attempt) -> SetUp {
     let is_retry = attempt.number > 0;
     SetUp {
--- a/src/broker/decide.rs
+++ b/src/broker/decide.rs
@@ -1,35 +1,35 @@
-//! The decision module as the core sees it.
+//! The interface between the broker and its decision module.
 
 use crate::api::{Action, Event, Micros, ServerId};
 use crate::brain::Brain;
 
-/// What made the module decide.
+/// What triggered a decision of the module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Trigger {
-    /// A timer that it asked for.
+    /// A timer that the module set.
     Timer,
-    /// Anything that happened.
+    /// Any other event.
     Event,
 }
 
 impl Trigger {
-    /// What an event is.
+    /// Returns the kind of trigger that an event is.
     pub(super) fn of(event: &Event) -> Trigger {
         if matches!(event, Event::Timer(_)) { Trigger::Timer } else { Trigger::Event }
     }
 }
 
-/// What decides: the module, or in tests one that errs.
+/// A decision module: [`Brain`], or a deliberately faulty one in tests.
 pub trait DecisionModule {
-    /// Takes one event in and appends what is to be done, in order.
+    /// Handles one event and appends the resulting actions to `out`, in order.
     fn decide(&mut self, now: Micros, event: Event, out: &mut Vec<Action>);
 
-    /// Servers, sessions or titles that are remembered, whichever are the most.
+    /// The number of tracked servers, sessions or titles, whichever is largest.
     fn tracked_entries(&self) -> usize {
         0
     }
 
-    /// Whether a server is given nothing for now, for other reasons than the list's.
+    /// Whether the module currently avoids a server for reasons other than its state in the server list.
     fn distrusts(&self, _now: Micros, _server: &ServerId) -> bool {
         false
     }
@@ -49,5 +49,5 @@
     }
 }
 
-/// Makes a module from a seed: one at the start, and one more after each that panicked.
+/// Creates a module from a seed, once at the start and again after each panic of a module.
 pub type ModuleFactory = Box<dyn FnMut(u64) -> Box<dyn DecisionModule>>;
--- a/src/broker/effect.rs
+++ b/src/broker/effect.rs
@@ -1,63 +1,63 @@
-//! Effects: what the core asks the fronts and the servers' connections to do.
+//! Effects of the broker: what its caller has to do on the connections to clients and servers.
 
 use std::sync::Arc;
 
 use crate::api::{Micros, Rung, ServerId, SessionId, Status, Text};
 
-/// A session description, passed on unchanged.
+/// A session description (SDP), forwarded unchanged.
 pub type Description = Arc<[u8]>;
 
-/// A set-up on its way to a server.
+/// A set-up to be sent to a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SetUp {
     /// The session.
     pub id: SessionId,
-    /// Number of the attempt, from 0.
+    /// The number of the attempt, from 0.
     pub attempt: u32,
     /// The server.
     pub server: ServerId,
-    /// Index of the class.
+    /// The index of the class.
     pub class: usize,
-    /// What it wants to watch.
+    /// The requested title.
     pub title: Text,
-    /// The rung; none: the lowest of the class.
+    /// The rung; `None` means the lowest one of the class.
     pub rung: Option<Rung>,
-    /// How long the core waits for the answer.
+    /// How long the broker waits for the answer.
     pub wait: Micros,
-    /// The client's description.
+    /// The session description of the client.
     pub offer: Description,
 }
 
-/// Why a request was not served.
+/// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// Its time ran out; else a server or a connection failed it.
+    /// Whether the deadline passed; otherwise a server or a connection failed.
     pub deadline_passed: bool,
-    /// An attempt may have run.
+    /// Whether an attempt may have run at a server.
     pub may_have_run: bool,
 }
 
-/// What is to be done.
+/// An action for the caller of the broker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send a set-up.
+    /// Send a set-up to a server.
     SetUp(SetUp),
-    /// Tell a server that an attempt is given up; [`Input::Withdrawn`](super::Input::Withdrawn) says when that is written.
+    /// Withdraw an attempt at a server; report [`Input::Withdrawn`](super::Input::Withdrawn) once this is written.
     Withdraw(SessionId, ServerId),
-    /// End a session at its server.
+    /// Release a session at its server.
     Release(SessionId, ServerId),
-    /// Tell a server the new rung.
+    /// Tell a server the new rung of a session.
     Rate(SessionId, ServerId, Rung),
-    /// Final answer: the session stands.
+    /// Final answer: the session is established; the description comes from the server.
     Established(SessionId, Description),
-    /// Final answer: coming again does no harm, after so long.
+    /// Final answer: the request is refused, and the client may safely retry after this delay.
     Refused(SessionId, Micros),
-    /// Final answer: failed.
+    /// Final answer: the request failed.
     Failed(SessionId, Failure),
-    /// A session that stood is over.
+    /// An established session has ended.
     Ended(SessionId, Status),
-    /// A session that stood is moved: its client comes again.
+    /// An established session is being moved: its client has to request it again.
     Moved(SessionId),
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/src/broker/ending.rs
+++ b/src/broker/ending.rs
@@ -1,4 +1,4 @@
-//! The core of a process that was told to end.
+//! Shutdown of the process: a common deadline for all answers, and the last answers.
 
 use super::alarms::Alarm;
 use super::requests::BACKSTOP_DELAY;
@@ -6,7 +6,7 @@
 use crate::api::{Event, Micros};
 
 impl Broker {
-    /// Each request must have its answer by then, whatever time its client would give it.
+    /// Sets the time by which every request must be answered, even if its own deadline is later.
     pub(super) fn set_shutdown_deadline(&mut self, at: Micros) {
         self.replayed_state.shutdown_deadline = Some(at);
         for id in self.sessions.unanswered_ids() {
@@ -21,7 +21,7 @@
         self.events.push_back(Event::ShutdownDeadline(at));
     }
 
-    /// Answers all that is still owed an answer: refused where coming again does no harm, else failed.
+    /// Answers all unanswered requests: refuses those whose clients may safely retry, and fails the others.
     pub(super) fn answer_unanswered(&mut self, now: Micros, out: &mut Vec<Effect>) {
         for id in self.sessions.unanswered_ids() {
             self.refuse(now, id, Micros(0), out);
--- a/src/broker/guard.rs
+++ b/src/broker/guard.rs
@@ -1,41 +1,42 @@
-//! The hard rules, checked once more before anything leaves the core, so that a slip of the module breaks none.
+//! The safety rules for set-ups and refusals. They are checked on every action of the decision module, so that a
+//! fault in the module cannot break them.
 
 use std::collections::BTreeMap;
 
 use crate::api::{Idempotency, ListKind, Micros, ServerEntry, ServerId, ServerState, Status};
 
-/// What is known of a session's earlier attempts.
+/// The history of the attempts of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct History {
-    /// Attempts made, the ones that were never sent included.
+    /// The number of attempts, including those that were never sent.
     pub attempts: u32,
-    /// One of them may have run.
+    /// Whether an attempt may have run at a server.
     pub may_have_run: bool,
-    /// One is out.
+    /// Whether an attempt is in flight.
     pub attempt_in_flight: bool,
 }
 
 impl History {
-    /// Notes how an attempt ended.
+    /// Records the end of an attempt.
     pub fn record_attempt_end(&mut self, status: Status) {
         self.attempt_in_flight = false;
         self.may_have_run |= !status.never_ran();
     }
 }
 
-/// Watches over sends and refusals.
+/// Checks set-ups and refusals against the safety rules, with its own copy of the server list.
 #[derive(Debug, Default)]
 pub struct Guard {
     servers: BTreeMap<ServerId, ServerEntry>,
 }
 
 impl Guard {
-    /// Takes news of the list in.
+    /// Applies an update of the server list.
     pub fn update_servers(&mut self, kind: ListKind, servers: &[ServerEntry]) {
         if matches!(kind, ListKind::Complete | ListKind::Stale) {
             self.servers.clear();
         }
-        // What is gone is not remembered: nothing may be sent to a server that is not there.
+        // Servers that are gone are removed, as nothing may be sent to an unlisted server.
         for entry in servers {
             if entry.state == ServerState::Gone {
                 self.servers.remove(&entry.id);
@@ -45,12 +46,12 @@
         }
     }
 
-    /// Servers that are remembered.
+    /// The number of tracked servers.
     pub fn tracked_entries(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether a server is listed and not gone.
+    /// Whether a server is listed, whether ready or draining.
     pub fn is_listed(&self, server: &ServerId) -> bool {
         self.servers.contains_key(server)
     }
@@ -60,13 +61,14 @@
         self.servers.get(server).is_some_and(|entry| entry.state == ServerState::Ready)
     }
 
-    /// The list as it is held.
+    /// The listed servers.
     pub fn servers(&self) -> Vec<ServerEntry> {
         self.servers.values().cloned().collect()
     }
 
-    /// Whether a set-up may go out: to a listed server that runs, within the cap and the time, alone, and of a
-    /// class that must not run twice only while no earlier attempt can have run.
+    /// Whether a set-up may be sent: the server must be listed as ready, the maximum number of attempts must not be
+    /// reached, the deadline must not have passed and no other attempt may be in flight. In a class whose set-ups
+    /// must not run twice, no earlier attempt may have run either.
     pub fn may_send(
         &self,
         server: &ServerId,
@@ -83,7 +85,7 @@
             && (idempotency == Idempotency::Safe || !history.may_have_run)
     }
 
-    /// Whether the client may be told that coming again does no harm.
+    /// Whether the client may be told that a retry is safe.
     pub fn may_refuse(idempotency: Idempotency, history: History) -> bool {
         idempotency == Idempotency::Safe || !(history.may_have_run || history.attempt_in_flight)
     }
--- a/src/broker/input.rs
+++ b/src/broker/input.rs
@@ -1,33 +1,33 @@
-//! Inputs: what the core is told of clients, servers and time.
+//! Inputs of the broker: events of clients and servers, configuration changes and the passing of time.
 
 use super::Description;
 use crate::api::{ListKind, Load, Micros, Note, Request, ServerEntry, ServerId, SessionId, Settings, Status};
 
-/// What the core is told.
+/// An event or change that the broker reacts to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// News of the list of servers.
+    /// An update of the server list.
     Servers {
-        /// What it carries.
+        /// Whether this is the complete list or a set of changes.
         kind: ListKind,
-        /// The entries.
+        /// The listed servers.
         servers: Vec<ServerEntry>,
     },
-    /// How many fronts there are, and which of them this one is.
+    /// The number of brokers in the fleet, and the index of this one, from 0.
     FleetPosition(u32, u32),
-    /// A client asks for a session, with its description.
+    /// A client requests a session and sends its session description.
     Request(Request, Description),
-    /// A session that plays at a server already.
+    /// A session that is already established at a server.
     ExistingSession(Request, ServerId),
-    /// The client gave the set-up up, or ended its session.
+    /// The client withdrew its request or ended its session.
     ClientLeft(SessionId),
-    /// A server answered: the session stands there.
+    /// A server answered a set-up: the session is established there.
     Established {
         /// The session.
         id: SessionId,
         /// The server.
         server: ServerId,
-        /// Its description.
+        /// The session description of the server.
         answer: Description,
     },
     /// A server, or its connection, ended the attempt or the session.
@@ -38,37 +38,39 @@
         server: ServerId,
         /// How it ended.
         status: Status,
-        /// The server's report, if one came.
+        /// The load report of the server; the default if it sent none.
         load: Load,
     },
-    /// The end of an attempt that was given up is written to its server, or its connection is over.
+    /// The withdrawal of an attempt has been written to the server, or the connection has ended.
     Withdrawn {
         /// The session.
         id: SessionId,
         /// The server.
         server: ServerId,
     },
-    /// A note on a session that stands.
+    /// A note from a server about an established session.
     Note {
         /// The session.
         id: SessionId,
         /// The server.
         server: ServerId,
-        /// What it tells.
+        /// The content of the note.
         note: Note,
     },
-    /// New settings: each class keeps its number while a session refers to it.
+    /// New settings. A class keeps its index while a session refers to it.
     Settings(Box<Settings>),
-    /// A session that stands is held by another process from now on.
+    /// An established session was handed over to another process.
     HandedOver(SessionId),
-    /// Turns at cold servers are this front's if they begin then or later; [`Micros::MAX`]: none.
+    /// The time from which this broker may use warm-up turns at cold servers: turns that begin then or later are its
+    /// own. [`Micros::MAX`] means none.
     WarmUpTurnsFrom(Micros),
-    /// A server was lost with all that stood there.
+    /// A server was lost, together with all sessions established there.
     ServerLost(ServerId),
-    /// The process was told to end: by then each request must have its answer.
+    /// The process is shutting down; every request must be answered by this time.
     ShutdownDeadline(Micros),
-    /// The broker ends: what waits is answered, and what stands is released on both sides.
+    /// The broker stops: waiting requests are answered, and established sessions are released towards both server and
+    /// client.
     Shutdown,
-    /// Time has passed.
+    /// Time has passed; due alarms are handled.
     Tick,
 }
--- a/src/broker/late.rs
+++ b/src/broker/late.rs
@@ -1,17 +1,17 @@
-//! Attempts that were given up: a late answer to one of them must not play on.
+//! Withdrawn attempts. If one of them is answered late, the session that it set up has to be released.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::api::{Micros, ServerId, SessionId};
 
-/// A late answer is released if it comes within this.
+/// How long after the withdrawal a late answer is recognized and released.
 const LATE_ANSWER_WINDOW: Micros = Micros(30_000_000);
-/// No more are remembered: clients may ask and withdraw by the thousand.
+/// Bounds the memory for withdrawn attempts, as clients may request and withdraw by the thousand.
 const MAX_WITHDRAWN_ATTEMPTS: usize = 4096;
 
 type Attempt = (SessionId, ServerId);
 
-/// What is remembered of them, the oldest first.
+/// The recently withdrawn attempts, in the order of their expiry.
 #[derive(Debug, Default)]
 pub struct WithdrawnAttempts {
     expires_at: BTreeMap<Attempt, Micros>,
@@ -19,7 +19,7 @@
 }
 
 impl WithdrawnAttempts {
-    /// An attempt is given up.
+    /// Records a withdrawn attempt and drops those that have expired or exceed the limit.
     pub fn insert(&mut self, now: Micros, id: SessionId, server: &ServerId) {
         let (expires_at, attempt) = (now + LATE_ANSWER_WINDOW, (id, server.clone()));
         self.expires_at.insert(attempt.clone(), expires_at);
@@ -34,18 +34,18 @@
         }
     }
 
-    /// Whether an attempt of a session was given up lately.
+    /// Whether an attempt of the session was withdrawn recently.
     pub fn has_session(&self, now: Micros, id: SessionId) -> bool {
         let of_session = self.expires_at.range((id, ServerId::default())..);
         of_session.take_while(|((of, _), _)| *of == id).any(|(_, expires_at)| now < *expires_at)
     }
 
-    /// An answer has come that nobody waits for; gives whether it is to such an attempt. It is forgotten.
+    /// Removes the attempt that an unexpected answer belongs to, and returns whether it was withdrawn recently.
     pub fn take_late_answer(&mut self, now: Micros, id: SessionId, server: &ServerId) -> bool {
         self.expires_at.remove(&(id, server.clone())).is_some_and(|expires_at| now < expires_at)
     }
 
-    /// Attempts that are remembered.
+    /// The number of tracked attempts.
     pub fn tracked_entries(&self) -> usize {
         self.by_expiry.len()
     }
@@ -55,7 +55,7 @@
 mod tests {
     use super::*;
 
-    /// Guards against memory that grows with every set-up that is withdrawn.
+    /// Guards against unbounded memory growth when clients withdraw many set-ups.
     #[test]
     fn keeps_newest_attempts_until_expiry_and_matches_each_once() {
         let (mut withdrawn, server) = (WithdrawnAttempts::default(), ServerId::new("s"));
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -1,5 +1,6 @@
-//! The core: requests, attempts and outcomes round the decision module. It knows no wire, no socket and no
-//! clock: it is fed a time and an [`Input`] and gives [`Effect`]s.
+//! The session state machine around the decision module. It assigns each request to an edge server, tracks the
+//! attempts and guarantees one final answer per request. It does no I/O and reads no clock: the caller passes the
+//! current time and an [`Input`], and carries out the [`Effect`]s that it returns.
 
 mod alarms;
 mod answers;
@@ -35,31 +36,31 @@
 use renewal::{FleetPosition, ReplayedState};
 use sessions::SessionTable;
 
-/// The core of one playback broker.
+/// The session state machine of one playback broker.
 pub struct Broker {
     module: Box<dyn DecisionModule>,
     make_module: ModuleFactory,
-    /// Seed of the module that runs.
+    /// The seed of the running module.
     seed: u64,
     guard: Guard,
-    /// What a repeated set-up does, by class.
+    /// Whether a set-up may be repeated, by class index.
     classes: Vec<Idempotency>,
-    /// Attempts for one session at most.
+    /// The maximum number of attempts for one session.
     max_attempts: u32,
     sessions: SessionTable,
     withdrawn_attempts: WithdrawnAttempts,
     alarms: Alarms,
-    /// Events that the module is still to hear.
+    /// Events that the module has not handled yet.
     events: VecDeque<Event>,
-    /// Bytes that sessions and their descriptions may take in all.
+    /// The memory limit for all sessions and their descriptions, in bytes.
     memory_limit_bytes: usize,
-    /// How long a client is told to stay away that there is no room for.
+    /// The retry delay given to a client whose request exceeds the memory limit.
     full_retry_after: Micros,
     replayed_state: ReplayedState,
 }
 
 impl Broker {
-    /// A core that knows its settings and nothing else.
+    /// Creates a broker with the built-in decision module and an empty server list.
     pub fn new(settings: Settings, seed: u64) -> Broker {
         let (classes, max_attempts) = (idempotency_by_class(&settings), settings.max_attempts);
         let make_module =
@@ -67,7 +68,8 @@
         Broker::with_module(classes, max_attempts, seed, Box::new(make_module))
     }
 
-    /// A core round any module: what a repeat does in each class, and the cap on attempts.
+    /// Creates a broker around any decision module. `classes` says per class whether a set-up may be
+    /// repeated, and `max_attempts` bounds the attempts for one session.
     pub fn with_module(
         classes: Vec<Idempotency>,
         max_attempts: u32,
@@ -91,15 +93,15 @@
         }
     }
 
-    /// With so many bytes for sessions and their descriptions; what comes beyond that is refused at once, and told
-    /// to stay away for so long.
+    /// Limits the memory for sessions and their descriptions. Requests beyond the limit are refused at once, with
+    /// `retry_after` as the delay before the next try.
     pub fn with_memory_limit(mut self, memory_limit_bytes: usize, retry_after: Micros) -> Broker {
         self.memory_limit_bytes = memory_limit_bytes;
         self.full_retry_after = retry_after;
         self
     }
 
-    /// Takes one input in and appends what is to be done, in order.
+    /// Handles one input and appends the resulting effects to `out`, in order.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Effect>) {
         self.apply_input(now, input, out);
         self.feed_module(now, out);
@@ -157,12 +159,12 @@
         self.max_attempts = settings.max_attempts;
         self.full_retry_after = settings.max_retry_after;
         self.events.push_back(Event::Settings(settings.clone()));
-        // The new settings carry a place among the fronts of their own.
+        // The new settings contain a fleet position of their own; the latest reported one takes precedence.
         self.events.extend(self.replayed_state.fleet_position.map(FleetPosition::event));
         self.replayed_state.settings = Some(settings);
     }
 
-    /// A note counts only if it comes from where the session stands.
+    /// Handles a note; notes from servers other than the one that holds the session are ignored.
     fn handle_note(&mut self, id: SessionId, server: ServerId, note: Note) {
         if !self.is_established_at(id, &server) {
             return;
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Feeds the module until it has nothing more to hear.
+    /// Passes the queued events to the module until none is left.
     fn feed_module(&mut self, now: Micros, out: &mut Vec<Effect>) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = Vec::new();
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Does what the module decided, as far as the hard rules allow it.
+    /// Carries out an action of the module, as far as the safety rules allow it.
     fn apply_action(&mut self, now: Micros, action: Action, trigger: Trigger, out: &mut Vec<Effect>) {
         match action {
             Action::Send { id, server, timeout } => self.send(now, id, server, timeout, out),
@@ -208,13 +210,14 @@
             Action::Rate { id, rung } => self.set_rung(id, rung, out),
             Action::Timer { token, delay } => self.alarms.schedule(now + delay, Alarm::ModuleTimer(token)),
             Action::Log(text) => out.push(Effect::Log(text)),
-            // Probes and messages between brokers are ruled out; the list comes unasked; connections to
-            // servers are few and close by themselves.
+            // Probes and messages between brokers are not supported, the server list is pushed without a request,
+            // and the few connections to servers close by themselves.
             Action::Probe(_) | Action::Tell { .. } | Action::Close(_) | Action::Watch(_) | Action::Fetch => {}
         }
     }
 
-    /// Sets a rung. A set-up carries its rung; a server that has had it already is told of the change.
+    /// Sets the rung of a session. A set-up carries its rung; if the set-up was already sent, the server is told
+    /// of the change.
     fn set_rung(&mut self, id: SessionId, rung: Rung, out: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get_mut(id) else { return };
         let changed = session.rung.replace(rung) != Some(rung);
@@ -224,7 +227,7 @@
     }
 }
 
-/// What a repeated set-up does, by class.
+/// Returns for each class whether a set-up may be repeated.
 fn idempotency_by_class(settings: &Settings) -> Vec<Idempotency> {
     settings.classes.iter().map(|class| class.idempotency).collect()
 }
--- a/src/broker/queries.rs
+++ b/src/broker/queries.rs
@@ -1,58 +1,58 @@
-//! What others may ask the core.
+//! Read-only queries on the state of the broker.
 
 use super::Broker;
 use crate::api::{Micros, Request, Rung, ServerEntry, ServerId, ServerState, SessionId};
 
-/// A request that is owed an answer.
+/// An unanswered request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenRequest {
-    /// The request.
+    /// The session that was requested.
     pub id: SessionId,
-    /// Number of its class.
+    /// The index of the class.
     pub class: usize,
-    /// The server that an attempt is out at; none: it waits for one.
+    /// The server of the attempt in flight; `None` while no attempt is in flight.
     pub server: Option<ServerId>,
-    /// When it is answered at the latest.
+    /// The deadline of the answer.
     pub due: Micros,
 }
 
 impl Broker {
-    /// When it next wants [`Input::Tick`](super::Input::Tick).
+    /// The time at which the broker next needs an [`Input::Tick`](super::Input::Tick).
     pub fn next_alarm(&self) -> Option<Micros> {
         self.alarms.next()
     }
 
-    /// Whether a session stands at a server.
+    /// Whether a session is established at a server.
     pub fn is_established_at(&self, id: SessionId, at: &ServerId) -> bool {
         self.sessions.server_of(id) == Some(at)
     }
 
-    /// When the attempt was decided on that is out at a server, or on its way there.
+    /// The time at which the module decided to send the attempt that is in flight to a server.
     pub fn sent_at(&self, id: SessionId, to: &ServerId) -> Option<Micros> {
         Some(self.sessions.attempt_at(id, to)?.sent_at)
     }
 
-    /// Whether anything new may go to a server, by the list as it is held.
+    /// Whether new set-ups may be sent to a server according to the server list.
     pub fn accepts_new(&self, server: &ServerId) -> bool {
         self.guard.accepts_new(server)
     }
 
-    /// Whether the session is known: unanswered, or standing.
+    /// Whether the session is known, either unanswered or established.
     pub fn has_session(&self, id: SessionId) -> bool {
         self.sessions.contains(id)
     }
 
-    /// Whether no attempt of an unanswered session can have run or be out.
+    /// Whether the session is known and none of its attempts is in flight or can have run.
     pub fn has_no_attempt(&self, id: SessionId) -> bool {
         self.sessions.get(id).is_some_and(|s| !s.history.attempt_in_flight && !s.history.may_have_run)
     }
 
-    /// Requests that are still owed an answer.
+    /// The number of unanswered requests.
     pub fn unanswered(&self) -> usize {
         self.sessions.unanswered_count()
     }
 
-    /// The requests whose answers may come last, so many at most.
+    /// The unanswered requests with the latest deadlines, at most `limit` of them.
     pub fn last_due(&self, limit: usize) -> Vec<OpenRequest> {
         let unanswered = self.sessions.iter().filter(|session| session.is_unanswered());
         let mut open: Vec<OpenRequest> = unanswered
@@ -68,12 +68,13 @@
         open
     }
 
-    /// Sessions that stand.
+    /// The number of established sessions.
     pub fn established(&self) -> usize {
         self.sessions.established_count()
     }
 
-    /// What is remembered, at its fullest place: to be watched where ids come and go all day.
+    /// The number of entries in the largest table. It must stay bounded however many ids come and go; monitoring it
+    /// shows a table that grows.
     pub fn tracked_entries(&self) -> usize {
         let own = [
             self.sessions.len(),
@@ -84,41 +85,41 @@
         own.into_iter().chain([self.module.tracked_entries()]).max().unwrap_or(0)
     }
 
-    /// The servers as last told.
+    /// The listed servers.
     pub fn listed_servers(&self) -> Vec<ServerEntry> {
         self.guard.servers()
     }
 
-    /// Listed servers that get nothing new now: they drain, or the module distrusts them.
+    /// The number of listed servers that get no new sessions now, because they drain or the module avoids them.
     pub fn out_of_rotation(&self, now: Micros) -> usize {
         let is_out_of_rotation =
             |e: &ServerEntry| e.state != ServerState::Ready || self.module.distrusts(now, &e.id);
         self.guard.servers().iter().filter(|entry| is_out_of_rotation(entry)).count()
     }
 
-    /// Whether any session is of a class.
+    /// Whether any session belongs to a class.
     pub fn uses_class(&self, class: usize) -> bool {
         self.sessions.iter().any(|s| s.request.class == class)
     }
 
-    /// Whether any session is of a tenant.
+    /// Whether any session belongs to a tenant.
     pub fn uses_tenant(&self, tenant: usize) -> bool {
         self.sessions.iter().any(|s| s.request.tenant == tenant)
     }
 
-    /// The sessions that stand.
+    /// The ids of the established sessions.
     pub fn established_ids(&self) -> Vec<SessionId> {
         self.sessions.established_ids()
     }
 
-    /// A session that stands: its request, where, and its rung if that is known.
+    /// The request, server and, if known, rung of an established session.
     pub fn established_session(&self, id: SessionId) -> Option<(Request, ServerId, Option<Rung>)> {
         let session = self.sessions.get(id)?;
         let server = session.placement()?.server.clone();
         Some((session.request.clone(), server, session.rung))
     }
 
-    /// Whether any session stands at a server.
+    /// Whether any session is established at a server.
     pub fn has_established_at(&self, at: &ServerId) -> bool {
         self.sessions.has_established_at(at)
     }
--- a/src/broker/renewal.rs
+++ b/src/broker/renewal.rs
@@ -1,34 +1,34 @@
-//! A decision module that panicked gives way to a new one.
+//! Replacement of a decision module that panicked.
 
 use super::{Broker, Effect};
 use crate::api::{Event, ListKind, Micros, Note, SessionId, Settings};
 
-/// The number of fronts, and which of them this one is.
+/// The number of brokers in the fleet, and the position of this one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FleetPosition {
-    /// How many; not 0.
+    /// The number of brokers; never 0.
     pub count: u32,
-    /// This one's number, from 0.
+    /// The index of this broker, from 0.
     pub place: u32,
 }
 
 impl FleetPosition {
-    /// The same as the module hears it.
+    /// Returns the event that tells the module this position.
     pub fn event(self) -> Event {
         Event::FleetPosition { count: self.count, place: self.place }
     }
 }
 
-/// What was told since the start, and is told again to a module that takes the place of another.
+/// The state that the module received through events since the start, replayed to its replacement.
 #[derive(Debug, Default)]
 pub(super) struct ReplayedState {
     /// The latest settings, if they changed.
     pub settings: Option<Box<Settings>>,
-    /// From when on turns at cold servers are this front's.
+    /// The time from which this broker may use warm-up turns at cold servers.
     pub warm_up_turns_from: Option<Micros>,
-    /// The place among the fronts.
+    /// The position in the fleet.
     pub fleet_position: Option<FleetPosition>,
-    /// By when each request must have its answer, as the process ends.
+    /// The time by which every request must be answered, if the process is shutting down.
     pub shutdown_deadline: Option<Micros>,
 }
 
@@ -43,8 +43,9 @@
 }
 
 impl Broker {
-    /// A module that panicked is replaced by a new one, as after a restart, but what plays goes on playing: it
-    /// is told the list and the sessions that stand. Set-ups that it held are answered at once.
+    /// Replaces a module that panicked by a new one. As after a restart, the new module starts without state, but
+    /// established sessions continue: it is told the server list and these sessions. Unanswered requests are answered
+    /// at once.
     pub(super) fn restart_module(&mut self, now: Micros, out: &mut Vec<Effect>) {
         out.push(Effect::Log("module panicked: starting a new one".to_owned()));
         self.seed = self.seed.wrapping_add(1);
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The new module hears of a session that stands, and of its rung if that is known.
+    /// Reports an established session and, if known, its rung to the new module.
     fn report_existing_session(&mut self, id: SessionId) {
         let Some((request, server, rung)) = self.established_session(id) else { return };
         let note = rung.map(|rung| Event::Note { id, server: server.clone(), note: Note::Rung(rung) });
--- a/src/broker/requests.rs
+++ b/src/broker/requests.rs
@@ -1,18 +1,19 @@
-//! Requests as they come and go: taken in, withdrawn by their clients, or handed to another process.
+//! Admission of requests and existing sessions, and their removal when clients leave or another process takes over.
 
 use super::alarms::Alarm;
 use super::sessions::{Placement, Session, Stage};
 use super::{Broker, Description, Effect};
 use crate::api::{Event, Load, Micros, Request, ServerId, SessionId, Status};
 
-/// What a session takes in the core, the module and the fronts, roughly, beside its description.
+/// An estimate of the memory per session in the broker, the decision module and the client connections, without
+/// its session description.
 const SESSION_BYTES: usize = 1024;
 
-/// How long after a request's deadline the core itself answers, should the module have kept silent.
+/// How long after the deadline of a request the broker answers it if the module has not.
 pub(super) const BACKSTOP_DELAY: Micros = Micros(5_000);
 
 impl Broker {
-    /// A client asks for a session.
+    /// Handles a client's request for a session.
     pub(super) fn handle_request(
         &mut self,
         now: Micros,
@@ -36,19 +37,20 @@
         let backstop = Alarm::DeadlineBackstop(request.id);
         self.alarms.schedule(request.due + BACKSTOP_DELAY, backstop);
         let mut session = Session::new(now, request.clone(), offer);
-        // A client that lost its connection may send its request once more under its id.
+        // A client that lost its connection may repeat its request under the same id, and the withdrawn attempt of
+        // the first one may have run.
         session.history.may_have_run = self.withdrawn_attempts.has_session(now, request.id);
         self.sessions.insert(session);
         self.events.push_back(Event::Request(request));
     }
 
-    /// A session plays at a server already.
+    /// Adds a session that is already established at a server.
     pub(super) fn add_existing_session(&mut self, request: Request, server: ServerId, out: &mut Vec<Effect>) {
-        // A client may name what is held already.
+        // A client may name a session that is already in the table.
         if self.sessions.contains(request.id) {
             return;
         }
-        // Nothing would ever end it.
+        // Without a class, a listed server and memory for it, nothing would ever end the session.
         if request.class >= self.classes.len() || !self.guard.is_listed(&server) || !self.has_room_for(0) {
             return out.push(Effect::Ended(request.id, Status::Reset));
         }
@@ -56,7 +58,7 @@
         self.events.push_back(Event::ExistingSession { request, server });
     }
 
-    /// The client gave its request up, or ended its session.
+    /// Handles a client that withdrew its request or ended its session.
     pub(super) fn client_left(&mut self, id: SessionId, out: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get(id) else { return };
         match session.stage().clone() {
@@ -73,14 +75,14 @@
         self.sessions.remove(id);
     }
 
-    /// A session that stands is held by another process from now on.
+    /// Removes an established session that another process has taken over.
     pub(super) fn session_handed_over(&mut self, id: SessionId) {
         if let Some(placement) = self.sessions.remove_established(id) {
             self.report_cancelled(id, placement);
         }
     }
 
-    /// The module hears that a session that stood was cancelled.
+    /// Reports to the module that an established session was cancelled.
     pub(super) fn report_cancelled(&mut self, id: SessionId, placement: Placement) {
         self.events.push_back(Event::Outcome {
             id,
@@ -93,12 +95,12 @@
         });
     }
 
-    /// Sessions that there is room for at most.
+    /// The maximum number of sessions within the memory limit.
     pub fn max_sessions(&self) -> usize {
         self.memory_limit_bytes / SESSION_BYTES
     }
 
-    /// Whether there is room for one more session with so long a description.
+    /// Whether the memory limit allows one more session with a description of `offer` bytes.
     fn has_room_for(&self, offer: usize) -> bool {
         let sessions = (self.sessions.len() + 1).saturating_mul(SESSION_BYTES);
         sessions.saturating_add(self.sessions.offer_bytes() + offer) <= self.memory_limit_bytes
--- a/src/broker/sessions/mod.rs
+++ b/src/broker/sessions/mod.rs
@@ -1,5 +1,5 @@
-//! The table of sessions. It alone changes their stages, and so keeps the counts and the index by server that spare
-//! its callers a walk over all sessions.
+//! The table of sessions. Stages change only through the table, which keeps counts and an index by server up to date,
+//! so that these queries need no scan over all sessions.
 
 mod session;
 #[cfg(test)]
@@ -11,23 +11,23 @@
 
 use crate::api::{Micros, ServerId, SessionId, Status};
 
-/// All sessions that are unanswered or stand.
+/// All sessions, unanswered or established.
 #[derive(Debug, Default)]
 pub(super) struct SessionTable {
     sessions: BTreeMap<SessionId, Session>,
-    /// Sessions that stand, by server; a server where none stands has no entry.
+    /// The established sessions by server; a server without any has no entry.
     by_server: BTreeMap<ServerId, BTreeSet<SessionId>>,
-    /// Sessions that stand.
+    /// The number of established sessions.
     established_count: usize,
-    /// Bytes of the descriptions that are held.
+    /// The total size of the stored descriptions, in bytes.
     offer_bytes: usize,
 }
 
 impl SessionTable {
-    /// Adds a session whose id is not in the table.
+    /// Adds a session whose id is not in the table yet.
     pub fn insert(&mut self, session: Session) {
         let id = session.request.id;
-        debug_assert!(!self.contains(id), "a session is added once");
+        debug_assert!(!self.contains(id), "the session is already in the table");
         self.offer_bytes += session.offer.len();
         if let Some(placement) = session.placement() {
             let server = placement.server.clone();
@@ -36,7 +36,7 @@
         self.sessions.insert(id, session);
     }
 
-    /// Takes a session out.
+    /// Removes a session.
     pub fn remove(&mut self, id: SessionId) -> Option<Session> {
         let session = self.sessions.remove(&id)?;
         self.offer_bytes -= session.offer.len();
@@ -46,14 +46,14 @@
         Some(session)
     }
 
-    /// Takes a session out if it stands, and gives where.
+    /// Removes a session if it is established, and returns its placement.
     pub fn remove_established(&mut self, id: SessionId) -> Option<Placement> {
         let placement = self.get(id)?.placement()?.clone();
         self.remove(id);
         Some(placement)
     }
 
-    /// An attempt for a waiting session goes out.
+    /// Starts an attempt for a waiting session.
     pub fn start_attempt(&mut self, id: SessionId, attempt: Attempt) {
         let Some(session) = self.sessions.get_mut(&id).filter(|s| s.stage == Stage::Waiting) else { return };
         session.history.attempts += 1;
@@ -62,14 +62,14 @@
         session.stage = Stage::Attempting(attempt);
     }
 
-    /// An attempt that is out is waited for no longer than until then; gives its number.
+    /// Shortens the deadline of the attempt in flight to at most `deadline`, and returns the number of the attempt.
     pub fn shorten_attempt(&mut self, id: SessionId, deadline: Micros) -> Option<u32> {
         let Stage::Attempting(attempt) = &mut self.sessions.get_mut(&id)?.stage else { return None };
         attempt.deadline = attempt.deadline.min(deadline);
         Some(attempt.number)
     }
 
-    /// The attempt that is out ended without success; the session waits again. Gives the attempt.
+    /// Ends the attempt in flight without success, and returns it; the session waits again.
     pub fn end_attempt(&mut self, id: SessionId, status: Status) -> Option<Attempt> {
         let session = self.sessions.get_mut(&id)?;
         let attempt = session.attempt()?.clone();
@@ -78,7 +78,8 @@
         Some(attempt)
     }
 
-    /// The attempt that is out is given up: the session waits until the end of it is written. Gives the attempt.
+    /// Starts the withdrawal of the attempt in flight, and returns the attempt. The session waits until the withdrawal
+    /// is written to the server.
     pub fn begin_withdrawal(&mut self, id: SessionId, status: Status) -> Option<Attempt> {
         let session = self.sessions.get_mut(&id)?;
         let attempt = session.attempt()?.clone();
@@ -86,7 +87,8 @@
         Some(attempt)
     }
 
-    /// The end of an attempt at a server is written: the session waits again. Gives the attempt and why it was given up.
+    /// Completes the withdrawal of an attempt at a server; the session waits again. Returns the attempt and the reason
+    /// for its withdrawal.
     pub fn end_withdrawal(&mut self, id: SessionId, server: &ServerId) -> Option<(Attempt, Status)> {
         let session = self.sessions.get_mut(&id)?;
         let Stage::Withdrawing(attempt, status) = &session.stage else { return None };
@@ -99,25 +101,25 @@
         Some(withdrawn)
     }
 
-    /// The attempt that is out succeeded; the session stands at its server. Gives the attempt.
+    /// Marks the session as established by the attempt in flight, and returns the attempt.
     pub fn establish(&mut self, id: SessionId) -> Option<Attempt> {
         let session = self.sessions.get_mut(&id)?;
         let attempt = session.attempt()?.clone();
         let placement = Placement { server: attempt.server.clone(), attempt: attempt.number };
         session.stage = Stage::Established(placement);
         session.history.record_attempt_end(Status::Completed);
-        // The description is not sent again.
+        // The description is not needed again.
         self.offer_bytes -= std::mem::replace(&mut session.offer, session::empty_description()).len();
         self.index(id, attempt.server.clone());
         Some(attempt)
     }
 
-    /// A session.
+    /// Returns a session.
     pub fn get(&self, id: SessionId) -> Option<&Session> {
         self.sessions.get(&id)
     }
 
-    /// A session, to be changed in all but its stage.
+    /// Returns a session for changes to anything but its stage and offer.
     pub fn get_mut(&mut self, id: SessionId) -> Option<&mut Session> {
         self.sessions.get_mut(&id)
     }
@@ -127,57 +129,57 @@
         self.sessions.contains_key(&id)
     }
 
-    /// All sessions, by id.
+    /// All sessions, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = &Session> {
         self.sessions.values()
     }
 
-    /// The sessions that stand, by id.
+    /// The ids of the established sessions, in ascending order.
     pub fn established_ids(&self) -> Vec<SessionId> {
         self.iter().filter(|session| !session.is_unanswered()).map(|session| session.request.id).collect()
     }
 
-    /// The requests that are owed an answer, by id.
+    /// The ids of the unanswered requests, in ascending order.
     pub fn unanswered_ids(&self) -> Vec<SessionId> {
         self.iter().filter(|session| session.is_unanswered()).map(|session| session.request.id).collect()
     }
 
-    /// The sessions that stand at a server, by id.
+    /// The ids of the sessions established at a server, in ascending order.
     pub fn established_at(&self, server: &ServerId) -> Vec<SessionId> {
         self.by_server.get(server).map(|ids| ids.iter().copied().collect()).unwrap_or_default()
     }
 
-    /// Whether any session stands at a server.
+    /// Whether any session is established at a server.
     pub fn has_established_at(&self, server: &ServerId) -> bool {
         self.by_server.contains_key(server)
     }
 
-    /// Where a session stands, if it does.
+    /// The server at which a session is established.
     pub fn server_of(&self, id: SessionId) -> Option<&ServerId> {
         Some(&self.get(id)?.placement()?.server)
     }
 
-    /// The attempt of a session that is out at a server.
+    /// The attempt of a session that is in flight at a server.
     pub fn attempt_at(&self, id: SessionId, server: &ServerId) -> Option<&Attempt> {
         self.get(id)?.attempt().filter(|attempt| attempt.server == *server)
     }
 
-    /// Sessions in the table.
+    /// The number of sessions in the table.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Sessions that stand.
+    /// The number of established sessions.
     pub fn established_count(&self) -> usize {
         self.established_count
     }
 
-    /// Requests that are owed an answer.
+    /// The number of unanswered requests.
     pub fn unanswered_count(&self) -> usize {
         self.len() - self.established_count
     }
 
-    /// Bytes of the descriptions that are held.
+    /// The total size of the stored descriptions, in bytes.
     pub fn offer_bytes(&self) -> usize {
         self.offer_bytes
     }
--- a/src/broker/sessions/session.rs
+++ b/src/broker/sessions/session.rs
@@ -1,66 +1,66 @@
-//! One session: its request, its stage and what is known of its attempts.
+//! A single session: its request, its stage and the history of its attempts.
 
 use crate::api::{Micros, Request, Rung, ServerId, Status};
 use crate::broker::{Description, History};
 
-/// An attempt that is out at a server, or on its way there.
+/// An attempt in flight: at a server, or on its way there.
 #[derive(Clone, Debug, PartialEq)]
 pub(in crate::broker) struct Attempt {
     /// The server.
     pub server: ServerId,
-    /// Its number, from 0.
+    /// The number of the attempt, from 0.
     pub number: u32,
-    /// When it was decided on.
+    /// The time at which the module decided to send it.
     pub sent_at: Micros,
-    /// When the core stops waiting for the answer.
+    /// The time at which the broker stops waiting for the answer.
     pub deadline: Micros,
 }
 
-/// Where a session stands, and by which attempt it came there.
+/// The server at which a session is established, and the attempt that established it.
 #[derive(Clone, Debug, PartialEq)]
 pub(in crate::broker) struct Placement {
     /// The server.
     pub server: ServerId,
-    /// Number of the attempt that succeeded.
+    /// The number of the attempt that succeeded.
     pub attempt: u32,
 }
 
-/// How far a session has come.
+/// The stage of a session.
 #[derive(Clone, Debug, PartialEq)]
 pub(in crate::broker) enum Stage {
-    /// Owed an answer, with no attempt out.
+    /// Unanswered, with no attempt in flight.
     Waiting,
-    /// Owed an answer, with one attempt out.
+    /// Unanswered, with one attempt in flight.
     Attempting(Attempt),
-    /// Owed an answer; an attempt was given up for this reason, and its end is not written yet.
+    /// Unanswered; an attempt is being withdrawn for this reason, and its server has not been told yet.
     Withdrawing(Attempt, Status),
-    /// Set up at a server.
+    /// Established at a server.
     Established(Placement),
 }
 
-/// A session from its request to its end. Its stage and its offer change only through the table that holds it.
+/// A session from its request to its end. Its stage and offer change only through the session table.
 #[derive(Debug)]
 pub(in crate::broker) struct Session {
-    /// What the client asked for.
+    /// The request of the client.
     pub request: Request,
-    /// The rung in force, if it is known.
+    /// The current rung, if known.
     pub rung: Option<Rung>,
-    /// What is known of its attempts.
+    /// The history of its attempts.
     pub history: History,
-    /// Its last attempt had no answer in its time, or the request came after its deadline.
+    /// Whether the last attempt timed out, or the request arrived after its deadline.
     pub timed_out: bool,
     pub(super) offer: Description,
     pub(super) stage: Stage,
 }
 
 impl Session {
-    /// A request that came at `now` and waits for its first attempt.
+    /// Creates a session for a request that arrived at `now` and waits for its first attempt.
     pub fn new(now: Micros, request: Request, offer: Description) -> Session {
         let timed_out = request.due <= now;
         Session { request, rung: None, history: History::default(), timed_out, offer, stage: Stage::Waiting }
     }
 
-    /// A session that plays at a server already.
+    /// Creates a session that is already established at a server.
     pub fn established(request: Request, server: ServerId) -> Session {
         Session {
             request,
@@ -72,22 +72,22 @@
         }
     }
 
-    /// How far it has come.
+    /// The stage of the session.
     pub fn stage(&self) -> &Stage {
         &self.stage
     }
 
-    /// The client's description; empty once the session stands, as it is not sent again.
+    /// The client's session description; empty once the session is established, as it is not needed again.
     pub fn offer(&self) -> &Description {
         &self.offer
     }
 
-    /// Whether its request is still owed an answer.
+    /// Whether the request has no final answer yet.
     pub fn is_unanswered(&self) -> bool {
         !matches!(self.stage, Stage::Established(_))
     }
 
-    /// The attempt that is out.
+    /// The attempt in flight.
     pub fn attempt(&self) -> Option<&Attempt> {
         match &self.stage {
             Stage::Attempting(attempt) => Some(attempt),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Where it stands.
+    /// The placement of an established session.
     pub fn placement(&self) -> Option<&Placement> {
         match &self.stage {
             Stage::Established(placement) => Some(placement),
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The server that an attempt is out at, or that the session stands at.
+    /// The server of the attempt in flight, or the one at which the session is established.
     pub fn server(&self) -> Option<&ServerId> {
         match &self.stage {
             Stage::Waiting | Stage::Withdrawing(..) => None,
@@ -113,7 +113,7 @@
     }
 }
 
-/// The description of a session that is not set up any more.
+/// The stored description of a session that needs no further set-up.
 pub(super) fn empty_description() -> Description {
     Description::from(&[][..])
 }
--- a/src/broker/sessions/tests.rs
+++ b/src/broker/sessions/tests.rs
@@ -1,4 +1,4 @@
-//! Guards against counts and an index that drift from the sessions they stand for.
+//! Guards against counts and an index that diverge from the sessions in the table.
 
 use super::*;
 use crate::api::{Micros, Request, Text};
@@ -15,7 +15,7 @@
     Request::new(id, Text::from("title"), Micros(1_000), 1, 0)
 }
 
-/// A fixed sequence of numbers (a linear congruential generator, high bits).
+/// Returns the next number of a fixed pseudo-random sequence (high bits of a linear congruential generator).
 fn next_number(state: &mut u64) -> u64 {
     *state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
     *state >> 33
