--- a/src/message/binary.rs
+++ b/src/message/binary.rs
@@ -1,45 +1,46 @@
-//! Binary messages: `length:2 type:1 session:8` and parameters `code:1 length:2 value`, big-endian.
+//! The binary encoding: `length:2 type:1 session:8`, followed by parameters `code:1 length:2 value`; all integers are
+//! big-endian, and the message length does not count its own two bytes.
 
 use super::{Kind, MAX_MESSAGE_BYTES, Malformed, ReadBuffer};
 use crate::api::SessionId;
 
-/// Codes of the parameters.
+/// Parameter codes.
 pub mod code {
     /// The class.
     pub const CLASS: u8 = 3;
-    /// How long the broker waits, in milliseconds.
+    /// How long the broker waits for the answer, in milliseconds.
     pub const WAIT: u8 = 4;
     /// The title.
     pub const TITLE: u8 = 7;
-    /// What a note is about.
+    /// The subject of a note.
     pub const NOTE: u8 = 10;
     /// The load report.
     pub const LOAD: u8 = 12;
     /// The rung.
     pub const RUNG: u8 = 14;
-    /// A note's figure.
+    /// The numeric value of a note.
     pub const FIGURE: u8 = 15;
-    /// The cause: one byte.
+    /// The cause, one byte.
     pub const CAUSE: u8 = 17;
-    /// The description.
+    /// The session description.
     pub const DESCRIPTION: u8 = 18;
 }
 
-/// Type and session.
+/// The size of the type and session fields.
 const HEADER_BYTES: usize = 9;
 
-/// A message that still lies in the buffer it came in.
+/// A decoded message that borrows from the receive buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Packet<'a> {
-    /// What it is.
+    /// The message type.
     pub kind: Kind,
-    /// Its session.
+    /// The session that it belongs to.
     pub id: SessionId,
     parameters: &'a [u8],
 }
 
 impl<'a> Packet<'a> {
-    /// The value of a parameter, if it is there.
+    /// Returns the value of the first parameter with this code.
     pub fn value(&self, wanted: u8) -> Option<&'a [u8]> {
         let mut rest = self.parameters;
         while let Some((code, value, after)) = split_parameter(rest) {
@@ -51,12 +52,12 @@
         None
     }
 
-    /// A parameter as text.
+    /// Returns a parameter as text, if it is valid UTF-8.
     pub fn text(&self, wanted: u8) -> Option<&'a str> {
         self.value(wanted).and_then(|v| std::str::from_utf8(v).ok())
     }
 
-    /// The cause.
+    /// Returns the cause, if it is present and one byte long.
     pub fn cause(&self) -> Option<u8> {
         self.value(code::CAUSE).filter(|v| v.len() == 1).map(|v| v[0])
     }
@@ -68,24 +69,24 @@
     Some((head[0], value, after))
 }
 
-/// Finds messages in a stream of bytes.
+/// An incremental decoder for a stream of binary messages.
 #[derive(Debug, Default)]
 pub struct Decoder {
     buffer: ReadBuffer,
 }
 
 impl Decoder {
-    /// Takes bytes in.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.feed(bytes);
     }
 
-    /// Whether a message has begun that is not whole yet.
+    /// Whether an incomplete message is buffered.
     pub fn has_partial_message(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The next whole message, or none until more bytes come.
+    /// Decodes the next complete message; returns `None` if more bytes are needed.
     pub fn next_packet(&mut self) -> Result<Option<Packet<'_>>, Malformed> {
         self.buffer.free_if_empty();
         let bytes = self.buffer.unread();
@@ -113,7 +114,7 @@
     }
 }
 
-/// Writes one message.
+/// An encoder for one message.
 #[derive(Debug)]
 pub struct Builder {
     bytes: Vec<u8>,
@@ -121,7 +122,7 @@
 }
 
 impl Builder {
-    /// A message without parameters.
+    /// Creates a message without parameters.
     pub fn new(kind: Kind, id: SessionId) -> Builder {
         let mut bytes = vec![0, 0, kind.code()];
         bytes.extend_from_slice(&id.0.to_be_bytes());
@@ -144,7 +145,7 @@
         self.with(code::CAUSE, &[cause])
     }
 
-    /// The bytes, or that the message would be too large.
+    /// Returns the encoded message, or an error if it would exceed the maximum size.
     pub fn finish(mut self) -> Result<Vec<u8>, Malformed> {
         if !self.fits {
             return Err(Malformed::TooLarge);
--- a/src/message/line.rs
+++ b/src/message/line.rs
@@ -1,4 +1,5 @@
-//! JSON lines: each holds one object with type, id, fields and, where they belong, cause and description.
+//! The JSON encoding: one object per line, with a type, an id, fields and, where applicable, a cause and a session
+//! description.
 
 use std::collections::BTreeMap;
 
@@ -7,46 +8,46 @@
 use super::{Kind, MAX_MESSAGE_BYTES, Malformed, ReadBuffer};
 use crate::api::SessionId;
 
-/// One message of a viewer's connection.
+/// A message on a viewer's connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// What it is.
+    /// The message type.
     pub kind: Kind,
-    /// Its session.
+    /// The session that it belongs to.
     pub id: SessionId,
-    /// Its fields, numbers as text.
+    /// The fields; numeric values are kept as text.
     pub fields: BTreeMap<String, String>,
-    /// The cause.
+    /// The cause of a release, if any.
     pub cause: Option<u8>,
-    /// The description.
+    /// The session description, if any.
     pub sdp: Option<String>,
 }
 
 impl Line {
-    /// A message with nothing but its type and id.
+    /// Creates a message without fields, cause or description.
     pub fn new(kind: Kind, id: SessionId) -> Line {
         Line { kind, id, fields: BTreeMap::new(), cause: None, sdp: None }
     }
 
-    /// With a cause.
+    /// Sets the cause.
     pub fn cause(mut self, cause: u8) -> Line {
         self.cause = Some(cause);
         self
     }
 
-    /// With one more field.
+    /// Adds a field.
     pub fn field(mut self, name: &str, value: impl ToString) -> Line {
         self.fields.insert(name.to_owned(), value.to_string());
         self
     }
 
-    /// With a description.
+    /// Sets the session description.
     pub fn sdp(mut self, sdp: &str) -> Line {
         self.sdp = Some(sdp.to_owned());
         self
     }
 
-    /// The bytes, line feed included, or that they would be too many.
+    /// Returns the encoded line including its line feed, or an error if it would exceed the maximum size.
     pub fn encode(&self) -> Result<Vec<u8>, Malformed> {
         let mut object = Map::new();
         object.insert("type".into(), self.kind.name().into());
@@ -77,7 +78,7 @@
                     match value {
                         Value::String(s) => fields.insert(name.clone(), s.clone()),
                         Value::Number(n) => fields.insert(name.clone(), n.to_string()),
-                        // Unknown forms are skipped like unknown fields.
+                        // Values of other types are skipped, like unknown fields.
                         _ => None,
                     };
                 }
@@ -92,32 +93,32 @@
     }
 }
 
-/// Reads a session's id: 16 hex digits.
+/// Parses a session id of 16 hexadecimal digits.
 pub fn parse_id(text: &str) -> Option<SessionId> {
     let hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     if hex { u64::from_str_radix(text, 16).ok().map(SessionId) } else { None }
 }
 
-/// Finds messages in a stream of bytes.
+/// An incremental decoder for a stream of JSON lines.
 #[derive(Debug, Default)]
 pub struct Decoder {
     buffer: ReadBuffer,
-    /// Bytes at the front that hold no line feed.
+    /// The number of leading bytes already found to contain no line feed.
     searched: usize,
 }
 
 impl Decoder {
-    /// Takes bytes in.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.feed(bytes);
     }
 
-    /// Whether a message has begun that is not whole yet.
+    /// Whether an incomplete message is buffered.
     pub fn has_partial_message(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The next whole message, or none until more bytes come. Empty lines are skipped.
+    /// Decodes the next complete message; returns `None` if more bytes are needed. Blank lines are skipped.
     pub fn next_line(&mut self) -> Result<Option<Line>, Malformed> {
         loop {
             let bytes = self.buffer.unread();
--- a/src/message/mod.rs
+++ b/src/message/mod.rs
@@ -1,36 +1,36 @@
-//! Codecs of the platform's messages: binary towards edge servers, JSON lines towards viewers. Both are fed
-//! bytes and know no socket.
+//! Codecs for the messages of the platform protocol: binary messages to and from edge servers, and JSON lines to and
+//! from viewers. They work on byte slices and do no I/O.
 
 pub mod binary;
 pub mod line;
 
 use std::fmt;
 
-/// No message may be larger.
+/// The maximum size of an encoded message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
-/// What a message is, on either wire.
+/// The type of a message, in both encodings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A set-up, with a description.
+    /// A set-up with a session description.
     SetUp,
-    /// Progress: means nothing.
+    /// A progress report; it has no effect.
     Progress,
-    /// An answer, with a description.
+    /// An answer with a session description.
     Answer,
-    /// A refusal, a give-up, or the end of a session.
+    /// The refusal or withdrawal of a set-up, or the end of a session.
     Release,
-    /// A release was heard.
+    /// The acknowledgement of a release.
     Released,
-    /// A test.
+    /// A connection check.
     Ping,
-    /// A test's result.
+    /// The reply to a connection check.
     Pong,
-    /// A note on a session that stands.
+    /// A note about an established session.
     Note,
-    /// A move.
+    /// A notice to a viewer that its session is being moved and has to be requested again.
     Move,
-    /// A new rung.
+    /// A change of the rung.
     Rate,
 }
 
@@ -48,29 +48,29 @@
 ];
 
 impl Kind {
-    /// The word on JSON lines.
+    /// Returns the type name used in JSON lines.
     pub fn name(self) -> &'static str {
         KINDS.iter().find(|n| n.0 == self).map_or("", |n| n.1)
     }
 
-    /// The type of a binary message.
+    /// Returns the type code used in binary messages.
     pub fn code(self) -> u8 {
         KINDS.iter().find(|n| n.0 == self).map_or(0, |n| n.2)
     }
 
-    /// From the word on JSON lines.
+    /// Looks a type up by its name in JSON lines.
     pub fn from_name(name: &str) -> Option<Kind> {
         KINDS.iter().find(|n| n.1 == name).map(|n| n.0)
     }
 
-    /// From the type of a binary message.
+    /// Looks a type up by its code in binary messages.
     pub fn from_code(code: u8) -> Option<Kind> {
         KINDS.iter().find(|n| n.2 == code).map(|n| n.0)
     }
 }
 
-/// Bytes of a stream that have come and are not read yet. An empty one holds no memory: connections wait for their
-/// next message by the hundred.
+/// The received bytes of a stream that are not decoded yet. An empty buffer holds no memory, as hundreds of
+/// connections may be idle at a time.
 #[derive(Debug, Default)]
 struct ReadBuffer {
     bytes: Vec<u8>,
@@ -92,7 +92,7 @@
         self.start += n;
     }
 
-    /// What was skipped last.
+    /// Returns the last `n` consumed bytes.
     fn last_consumed(&self, n: usize) -> &[u8] {
         &self.bytes[self.start - n..self.start]
     }
@@ -108,43 +108,43 @@
     }
 }
 
-/// Causes of releases.
+/// Cause codes of releases.
 pub mod cause {
-    /// Given up before the answer, or ended in its course after it.
+    /// The set-up was withdrawn before its answer, or the session ended normally after it.
     pub const NORMAL: u8 = 16;
-    /// Cancelled: moved, or ended by its viewer.
+    /// Cancelled: the session was moved, or its viewer ended it.
     pub const CANCELLED: u8 = 31;
-    /// Full: it never ran.
+    /// The server is full; the set-up never ran.
     pub const FULL: u8 = 34;
-    /// Broken on its way, or cut.
+    /// The connection broke, or the session was cut off.
     pub const RESET: u8 = 41;
-    /// Refused by the broker: coming again is harmless.
+    /// Refused by the broker; a retry is safe.
     pub const REFUSED: u8 = 42;
     /// An error.
     pub const ERROR: u8 = 47;
-    /// Moot: it never left.
+    /// Moot: the set-up was never sent.
     pub const MOOT: u8 = 102;
 }
 
-/// Why bytes are no message; each ends its connection with its code.
+/// Why bytes are not a valid message. Each of these errors ends the connection, and its code is logged as the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Malformed {
-    /// Larger than [`MAX_MESSAGE_BYTES`].
+    /// The message is larger than [`MAX_MESSAGE_BYTES`].
     TooLarge,
-    /// A length that does not fit.
+    /// A length field does not match the data.
     BadLength,
-    /// A type that is not known.
+    /// The message type is unknown.
     UnknownType,
-    /// No JSON object of the form.
+    /// The line is not a JSON object of the expected form.
     BadJson,
-    /// An id that is not 16 hex digits.
+    /// The id is not 16 hexadecimal digits.
     BadId,
-    /// A field that is missing or can't be read.
+    /// A field is missing or invalid.
     BadField,
 }
 
 impl Malformed {
-    /// The reason code of the log line.
+    /// Returns the reason code for the log.
     pub fn code(self) -> &'static str {
         match self {
             Malformed::TooLarge => "too-large",
