--- a/tests/broker.rs
+++ b/tests/broker.rs
@@ -1,4 +1,4 @@
-//! The core without a wire: requests, attempts, outcomes and the rules round the module.
+//! The broker state machine without I/O: requests, attempts, outcomes and the safety rules around the module.
 
 use amberspindle::api::{Idempotency, *};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
 }
 
 impl Core {
-    /// A core before so many servers, one a cell, and a deadline of two seconds.
+    /// Creates a broker with `servers` servers, one per cell, and a deadline of two seconds.
     fn new(servers: u32) -> Core {
         let mut s = Settings::new(vec![100.0, 200.0], vec![0.4, 1.0]);
         (s.cells, s.racks, s.link_unit_kb, s.rack_kb, s.max_attempts) = (3, 1, 1e5, 3e5, 4);
@@ -35,7 +35,7 @@
         let mut out = Vec::new();
         self.broker.handle(self.now, input, &mut out);
         let mut handled = 0;
-        // The end of an attempt is written at once here.
+        // Each withdrawal counts as written to its server at once.
         while handled < out.len() {
             if let Effect::Withdraw(id, server) = &out[handled] {
                 let written = Input::Withdrawn { id: *id, server: server.clone() };
@@ -52,7 +52,7 @@
         self.handle(Input::Request(request, b"offer"[..].into()))
     }
 
-    /// Lets time pass, alarms going off.
+    /// Advances the clock by `span` and handles the alarms that become due.
     fn advance(&mut self, span: Micros) -> Vec<Effect> {
         let (end, mut out) = (self.now + span, Vec::new());
         while let Some(at) = self.broker.next_alarm().filter(|at| *at <= end) {
@@ -157,7 +157,7 @@
     let mut core = Core::new(0);
     let mut out = core.request(1, PAID_CLASS);
     out.extend(core.advance(ms(3000)));
-    assert_eq!(answers(&out), [&Effect::Refused(SessionId(1), ms(500))], "and told when to come back");
+    assert_eq!(answers(&out), [&Effect::Refused(SessionId(1), ms(500))], "with a retry delay");
 }
 
 #[test]
@@ -169,7 +169,7 @@
     out.extend(core.advance(ms(3000)));
     assert!(answers(&out).is_empty());
     assert_eq!(core.establish(1, &first.server), [Effect::Release(SessionId(1), first.server)]);
-    // And one that plays is cut at its server.
+    // An established session is released at its server.
     let set_up = sent(&core.request(2, CLIP_CLASS)).remove(0);
     core.establish(2, &set_up.server);
     assert_eq!(core.handle(Input::ClientLeft(SessionId(2))), [Effect::Release(SessionId(2), set_up.server)]);
@@ -209,7 +209,7 @@
     assert_eq!(answers(&out).len(), 1);
 }
 
-/// A module that does as chance will: sends anywhere, refuses and fails what it likes, forgets, and panics.
+/// A module with random behaviour: it sends to any server, refuses and fails any request, forgets requests and panics.
 struct Erratic(fastrand::Rng);
 
 impl DecisionModule for Erratic {
@@ -232,12 +232,12 @@
                 });
             }
         }
-        assert!(self.0.u32(..50) > 0, "a slip of the module");
+        assert!(self.0.u32(..50) > 0, "a fault of the module");
     }
 }
 
-/// Whatever the module does, the core keeps the rules: one answer, one attempt out, a paid session neither sent
-/// again nor refused once it may have run, no send to a server that drains.
+/// Whatever the module does, the broker keeps the safety rules: one answer per request, one attempt in flight, a paid
+/// session is neither sent again nor refused once it may have run, and nothing is sent to a draining server.
 #[test]
 fn safety_rules_hold_with_erratic_module() {
     let mut rng = fastrand::Rng::with_seed(0xbad);
@@ -267,7 +267,7 @@
                     let ends = [Status::Saturated, Status::Errored, Status::Reset, Status::ConnectFailed];
                     match rng.usize(..6) {
                         i @ 0..4 => {
-                            // Noted first: what the core does next must already heed it.
+                            // Recorded first, as the broker's next effects must already take it into account.
                             if !ends[i].never_ran() {
                                 ran.insert(id);
                             }
@@ -295,8 +295,8 @@
                     let paid = s.id.0 % 2 == 0;
                     assert!(!(paid && ran.contains(&s.id.0)), "a paid set-up is sent again");
                     assert!(!answered.contains(&s.id.0), "sent after its answer");
-                    assert!(out.insert(s.id.0, s.server.clone()).is_none(), "two attempts out");
-                    assert_ne!(s.server, server(3), "sent to a server that drains");
+                    assert!(out.insert(s.id.0, s.server.clone()).is_none(), "two attempts in flight");
+                    assert_ne!(s.server, server(3), "sent to a draining server");
                     let sends = sent_to.entry(s.id.0).or_default();
                     *sends += 1;
                     assert!(*sends <= 4);
@@ -324,7 +324,7 @@
     assert!(panics > 10 && answered.len() > 200, "{panics} {}", answered.len());
 }
 
-/// Guards against a paid set-up that runs twice because its client's connection was reset and it was sent again.
+/// Guards against a paid set-up that runs twice because its client repeats the request after a connection reset.
 #[test]
 fn fails_paid_request_repeated_under_its_id_after_it_may_have_run() {
     let mut core = Core::new(3);
@@ -334,7 +334,7 @@
     out.extend(core.advance(ms(3000)));
     assert!(sent(&out).is_empty(), "it was set up again");
     assert!(matches!(answers(&out)[..], [Effect::Failed(SessionId(1), why)] if why.may_have_run));
-    // What may be repeated is, and so is what never ran.
+    // A request of a repeatable class is set up again, and so is one that never ran.
     sent(&core.request(2, CLIP_CLASS));
     core.handle(Input::ClientLeft(SessionId(2)));
     assert_eq!(sent(&core.request(2, CLIP_CLASS)).len(), 1);
@@ -347,18 +347,18 @@
     assert!(matches!(answers(&again)[..], [Effect::Refused(SessionId(3), _)]));
 }
 
-/// Seen on days with bad peers: answers come twice, or under ids that nobody asked for. Each was answered with a
-/// release, which ends the session of that id wherever it stands.
+/// Guards against releases in reply to duplicate answers and answers with unknown ids, as faulty servers send them: a
+/// release ends the session with that id wherever it is established.
 #[test]
 fn releases_late_answers_only_to_withdrawn_attempts() {
     let mut core = Core::new(3);
     let set_up = sent(&core.request(1, CLIP_CLASS)).remove(0);
-    assert!(core.establish(99, &set_up.server).is_empty(), "a stranger's id");
+    assert!(core.establish(99, &set_up.server).is_empty(), "an unknown id");
     core.establish(1, &set_up.server);
-    assert!(core.establish(1, &set_up.server).is_empty(), "a second copy");
+    assert!(core.establish(1, &set_up.server).is_empty(), "a duplicate answer");
     core.end_at_server(1, &set_up.server, Status::Completed);
-    assert!(core.establish(1, &set_up.server).is_empty(), "a second copy, late");
-    // One that was given up is released, once, and remembered for a while only.
+    assert!(core.establish(1, &set_up.server).is_empty(), "a late duplicate answer");
+    // The answer to a withdrawn attempt is released once, and only for a limited time.
     for id in [2, 3] {
         let set_up = sent(&core.request(id, PAID_CLASS)).remove(0);
         core.handle(Input::ClientLeft(SessionId(id)));
@@ -369,8 +369,8 @@
     }
 }
 
-/// Guards against memory that a flood of requests, or of sessions said to play, can use up. What is refused was
-/// never sent, so a paid one may be refused too; room that is free again is used again.
+/// Guards against a flood of requests, or of sessions reported as established, that exhausts the memory. Requests
+/// beyond the limit were never sent, so paid ones may be refused too; memory that is freed is used again.
 #[test]
 fn refuses_requests_beyond_memory_limit() {
     let mut core = Core::new(3);
@@ -394,7 +394,7 @@
     assert_eq!(
         sent(&core.request(4, PAID_CLASS)).len(),
         1,
-        "a session that stands needs its description no more"
+        "an established session no longer needs its description"
     );
     assert_eq!(core.request(5, CLIP_CLASS), [refused(5)]);
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Whether a failed request is told as one whose time ran out or as one that a server failed.
+//! Whether a failed request is reported as a passed deadline or as the failure of a server.
 
 use amberspindle::api::{Idempotency, *};
 use amberspindle::broker::{Broker, Effect, Failure, Input};
@@ -6,7 +6,7 @@
 const REQUEST: SessionId = SessionId(1);
 const DEADLINE: Micros = Micros(2_000_000);
 
-/// A core with one server and one request of a paid class, whose set-up is out.
+/// A broker with one server and one request of a paid class, whose set-up is in flight.
 struct Core {
     broker: Broker,
     now: Micros,
@@ -39,7 +39,7 @@
         effects
     }
 
-    /// Lets time pass until then, alarms going off.
+    /// Advances the clock to `end` and handles the alarms that become due.
     fn advance_until(&mut self, end: Micros) -> Vec<Effect> {
         let mut effects = Vec::new();
         while let Some(at) = self.broker.next_alarm().filter(|at| *at <= end) {
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Every parser against random cuts of valid messages and random garbage, from fixed seeds.
+//! All parsers, fed valid messages split at random positions and random garbage, from fixed seeds.
 
 use amberspindle::api::{Micros, SessionId};
 use amberspindle::board::Board;
@@ -15,7 +15,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Runs a property on cases from a fixed seed; nothing is kept between runs.
+/// Checks a property on cases from a fixed seed; failing cases are not stored between runs.
 fn check_cases<S: Strategy>(strategy: S, property: impl Fn(S::Value)) {
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
@@ -27,7 +27,7 @@
         .unwrap();
 }
 
-/// Hands bytes over in pieces cut at these places.
+/// Feeds bytes in pieces, split at the given positions (modulo the length).
 fn feed_in_pieces(bytes: &[u8], cuts: &[usize], mut feed: impl FnMut(&[u8])) {
     let mut bounds: Vec<usize> = cuts.iter().map(|c| c % (bytes.len() + 1)).collect();
     bounds.extend([0, bytes.len()]);
@@ -143,7 +143,7 @@
     });
 }
 
-/// Whatever comes, a parser gives a message or an error; it neither panics nor keeps more than its bound.
+/// For any input, a parser returns a message or an error; it neither panics nor exceeds its size limit.
 #[test]
 fn garbage_yields_errors_or_incomplete_messages() {
     let settings = amberspindle::api::Settings::new(vec![1.0], vec![1.0]);
@@ -173,7 +173,7 @@
             let _ = events.feed(piece, &mut Vec::new());
             let _ = board.bytes(Micros(0), piece, &mut Vec::new());
             let messages = links.bytes(Micros(5), ConnId(1), piece, &mut Vec::new()).1;
-            assert!(messages.is_empty(), "an unknown connection says nothing");
+            assert!(messages.is_empty(), "an unknown connection yields no messages");
         });
         let text = String::from_utf8_lossy(&bytes);
         let _ = load_report(&text);
