--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -1,5 +1,6 @@
-//! The core: requests, attempts and outcomes round the decision module. It knows no wire, no socket and no
-//! clock: it is fed a time and an [`Input`] and gives [`Effect`]s.
+//! The session state machine around the decision module. It assigns each request to an edge server, tracks the
+//! attempts and guarantees one final answer per request. It does no I/O and reads no clock: the caller passes the
+//! current time and an [`Input`], and carries out the [`Effect`]s that it returns.
 
 mod alarms;
 mod answers;
@@ -18,8 +19,8 @@
 use std::collections::VecDeque;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use decide::Prompt;
-pub use decide::{Decide, Make};
+use decide::Trigger;
+pub use decide::{DecisionModule, ModuleFactory};
 pub use effect::{Description, Effect, Failure, SetUp};
 pub use guard::{Guard, History};
 pub use input::Input;
@@ -31,131 +32,140 @@
 use crate::brain::Brain;
 use alarms::{Alarm, Alarms};
 use answers::ServerOutcome;
-use late::Late;
-use renewal::{FleetPosition, Told};
+use late::WithdrawnAttempts;
+use renewal::{FleetPosition, ReplayedState};
 use sessions::SessionTable;
 
-/// The core of one playback broker.
+/// The session state machine of one playback broker.
 pub struct Broker {
-    module: Box<dyn Decide>,
-    make: Make,
-    /// Seed of the module that runs.
+    module: Box<dyn DecisionModule>,
+    make_module: ModuleFactory,
+    /// The seed of the running module.
     seed: u64,
     guard: Guard,
-    /// What a repeated set-up does, by class.
+    /// Whether a set-up may be repeated, by class index.
     classes: Vec<Idempotency>,
-    /// Attempts for one session at most.
+    /// The maximum number of attempts for one session.
     max_attempts: u32,
     sessions: SessionTable,
-    late: Late,
+    withdrawn_attempts: WithdrawnAttempts,
     alarms: Alarms,
-    /// Events that the module is still to hear.
+    /// Events that the module has not handled yet.
     events: VecDeque<Event>,
-    /// Bytes that sessions and their descriptions may take in all.
-    room_bytes: usize,
-    /// How long a client is told to stay away that there is no room for.
+    /// The memory limit for all sessions and their descriptions, in bytes.
+    memory_limit_bytes: usize,
+    /// The retry delay given to a client whose request exceeds the memory limit.
     full_retry_after: Micros,
-    told: Told,
+    replayed_state: ReplayedState,
 }
 
 impl Broker {
-    /// A core that knows its settings and nothing else.
+    /// Creates a broker with the built-in decision module and an empty server list.
     pub fn new(settings: Settings, seed: u64) -> Broker {
-        let (classes, max_attempts) = (repeats(&settings), settings.max_attempts);
-        let make = move |seed| -> Box<dyn Decide> { Box::new(Brain::new(settings.clone(), seed)) };
-        Broker::with(classes, max_attempts, seed, Box::new(make))
+        let (classes, max_attempts) = (idempotency_by_class(&settings), settings.max_attempts);
+        let make_module =
+            move |seed| -> Box<dyn DecisionModule> { Box::new(Brain::new(settings.clone(), seed)) };
+        Broker::with_module(classes, max_attempts, seed, Box::new(make_module))
     }
 
-    /// A core round any module: what a repeat does in each class, and the cap on attempts.
-    pub fn with(classes: Vec<Idempotency>, max_attempts: u32, seed: u64, mut make: Make) -> Broker {
+    /// Creates a broker around any decision module. `classes` says per class whether a set-up may be
+    /// repeated, and `max_attempts` bounds the attempts for one session.
+    pub fn with_module(
+        classes: Vec<Idempotency>,
+        max_attempts: u32,
+        seed: u64,
+        mut make_module: ModuleFactory,
+    ) -> Broker {
         Broker {
-            module: make(seed),
-            make,
+            module: make_module(seed),
+            make_module,
             seed,
             guard: Guard::default(),
             classes,
             max_attempts,
             sessions: SessionTable::default(),
-            late: Late::default(),
+            withdrawn_attempts: WithdrawnAttempts::default(),
             alarms: Alarms::default(),
             events: VecDeque::new(),
-            room_bytes: usize::MAX,
+            memory_limit_bytes: usize::MAX,
             full_retry_after: Micros(0),
-            told: Told::default(),
+            replayed_state: ReplayedState::default(),
         }
     }
 
-    /// With so many bytes for sessions and their descriptions; what comes beyond that is refused at once, and told
-    /// to stay away for so long.
-    pub fn bounded(mut self, room_bytes: usize, retry_after: Micros) -> Broker {
-        self.room_bytes = room_bytes;
+    /// Limits the memory for sessions and their descriptions. Requests beyond the limit are refused at once, with
+    /// `retry_after` as the delay before the next try.
+    pub fn with_memory_limit(mut self, memory_limit_bytes: usize, retry_after: Micros) -> Broker {
+        self.memory_limit_bytes = memory_limit_bytes;
         self.full_retry_after = retry_after;
         self
     }
 
-    /// Takes one input in and appends what is to be done, in order.
+    /// Handles one input and appends the resulting effects to `out`, in order.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Effect>) {
-        self.take_in(now, input, out);
+        self.apply_input(now, input, out);
         self.feed_module(now, out);
         while let Some(alarm) = self.alarms.pop_due(now) {
-            self.alarm(now, alarm, out);
+            self.handle_alarm(now, alarm, out);
             self.feed_module(now, out);
         }
     }
 
-    fn take_in(&mut self, now: Micros, input: Input, out: &mut Vec<Effect>) {
+    fn apply_input(&mut self, now: Micros, input: Input, out: &mut Vec<Effect>) {
         match input {
             Input::Servers { kind, servers } => self.servers_listed(kind, servers),
-            Input::FleetPosition(count, place) => self.fronts_changed(FleetPosition { count, place }),
-            Input::Request(request, offer) => self.request(now, request, offer, out),
-            Input::ExistingSession(request, server) => self.open(request, server, out),
-            Input::ClientLeft(id) => self.left(id, out),
-            Input::Established { id, server, answer } => self.stood(now, id, server, answer, out),
+            Input::FleetPosition(count, place) => self.fleet_position_changed(FleetPosition { count, place }),
+            Input::Request(request, offer) => self.handle_request(now, request, offer, out),
+            Input::ExistingSession(request, server) => self.add_existing_session(request, server, out),
+            Input::ClientLeft(id) => self.client_left(id, out),
+            Input::Established { id, server, answer } => {
+                self.session_established(now, id, server, answer, out)
+            }
             Input::Ended { id, server, status, load } => {
-                self.over(now, id, ServerOutcome { server, status, load }, out);
+                self.server_ended(now, id, ServerOutcome { server, status, load }, out);
             }
-            Input::Withdrawn { id, server } => self.withdrawn(now, id, &server),
-            Input::Note { id, server, note } => self.noted(id, server, note),
+            Input::Withdrawn { id, server } => self.attempt_withdrawn(now, id, &server),
+            Input::Note { id, server, note } => self.handle_note(id, server, note),
             Input::Settings(settings) => self.settings_changed(settings),
-            Input::HandedOver(id) => self.passed(id),
-            Input::WarmUpTurnsFrom(from) => self.turns_changed(from),
-            Input::ShutdownDeadline(at) => self.ends(at),
+            Input::HandedOver(id) => self.session_handed_over(id),
+            Input::WarmUpTurnsFrom(from) => self.warm_up_turns_changed(from),
+            Input::ShutdownDeadline(at) => self.set_shutdown_deadline(at),
             Input::ServerLost(server) => self.server_lost(now, server, out),
             Input::Shutdown => {
-                self.answer_all(now, out);
-                self.release_standing(now, out);
+                self.answer_unanswered(now, out);
+                self.release_established(now, out);
             }
             Input::Tick => {}
         }
     }
 
     fn servers_listed(&mut self, kind: ListKind, servers: Vec<ServerEntry>) {
-        self.guard.listed(kind, &servers);
+        self.guard.update_servers(kind, &servers);
         self.events.push_back(Event::ServerList { kind, servers });
     }
 
-    fn fronts_changed(&mut self, fronts: FleetPosition) {
-        self.told.fronts = Some(fronts);
-        self.events.push_back(fronts.event());
+    fn fleet_position_changed(&mut self, position: FleetPosition) {
+        self.replayed_state.fleet_position = Some(position);
+        self.events.push_back(position.event());
     }
 
-    fn turns_changed(&mut self, from: Micros) {
-        self.told.turns = Some(from);
+    fn warm_up_turns_changed(&mut self, from: Micros) {
+        self.replayed_state.warm_up_turns_from = Some(from);
         self.events.push_back(Event::WarmUpTurnsFrom(from));
     }
 
     fn settings_changed(&mut self, settings: Box<Settings>) {
-        self.classes = repeats(&settings);
+        self.classes = idempotency_by_class(&settings);
         self.max_attempts = settings.max_attempts;
         self.full_retry_after = settings.max_retry_after;
         self.events.push_back(Event::Settings(settings.clone()));
-        // The new settings carry a place among the fronts of their own.
-        self.events.extend(self.told.fronts.map(FleetPosition::event));
-        self.told.settings = Some(settings);
+        // The new settings contain a fleet position of their own; the latest reported one takes precedence.
+        self.events.extend(self.replayed_state.fleet_position.map(FleetPosition::event));
+        self.replayed_state.settings = Some(settings);
     }
 
-    /// A note counts only if it comes from where the session stands.
-    fn noted(&mut self, id: SessionId, server: ServerId, note: Note) {
+    /// Handles a note; notes from servers other than the one that holds the session are ignored.
+    fn handle_note(&mut self, id: SessionId, server: ServerId, note: Note) {
         if !self.is_established_at(id, &server) {
             return;
         }
@@ -165,7 +175,7 @@
         self.events.push_back(Event::Note { id, server, note });
     }
 
-    fn alarm(&mut self, now: Micros, alarm: Alarm, out: &mut Vec<Effect>) {
+    fn handle_alarm(&mut self, now: Micros, alarm: Alarm, out: &mut Vec<Effect>) {
         match alarm {
             Alarm::ModuleTimer(token) => self.events.push_back(Event::Timer(token)),
             Alarm::AttemptDeadline(id, attempt) => self.attempt_deadline(now, id, attempt, out),
@@ -173,40 +183,41 @@
         }
     }
 
-    /// Feeds the module until it has nothing more to hear.
+    /// Passes the queued events to the module until none is left.
     fn feed_module(&mut self, now: Micros, out: &mut Vec<Effect>) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = Vec::new();
-            let prompt = Prompt::of(&event);
-            let fed = catch_unwind(AssertUnwindSafe(|| self.module.decide(now, event, &mut actions)));
-            if fed.is_err() {
-                self.renew_module(now, out);
+            let trigger = Trigger::of(&event);
+            let outcome = catch_unwind(AssertUnwindSafe(|| self.module.decide(now, event, &mut actions)));
+            if outcome.is_err() {
+                self.restart_module(now, out);
                 continue;
             }
             for action in actions {
-                self.act(now, action, prompt, out);
+                self.apply_action(now, action, trigger, out);
             }
         }
     }
 
-    /// Does what the module decided, as far as the hard rules allow it.
-    fn act(&mut self, now: Micros, action: Action, prompt: Prompt, out: &mut Vec<Effect>) {
+    /// Carries out an action of the module, as far as the safety rules allow it.
+    fn apply_action(&mut self, now: Micros, action: Action, trigger: Trigger, out: &mut Vec<Effect>) {
         match action {
             Action::Send { id, server, timeout } => self.send(now, id, server, timeout, out),
             Action::Refuse { id, retry_after } => self.refuse(now, id, retry_after, out),
-            Action::Fail(id) => self.fail_by_module(now, id, prompt, out),
+            Action::Fail(id) => self.fail_by_module(now, id, trigger, out),
             Action::Cancel { id, attempt } => self.cancel_attempt(now, id, attempt, out),
             Action::Move(id) => self.move_session(id, out),
             Action::Rate { id, rung } => self.set_rung(id, rung, out),
             Action::Timer { token, delay } => self.alarms.schedule(now + delay, Alarm::ModuleTimer(token)),
             Action::Log(text) => out.push(Effect::Log(text)),
-            // Probes and messages between brokers are ruled out; the list comes unasked; connections to
-            // servers are few and close by themselves.
+            // Probes and messages between brokers are not supported, the server list is pushed without a request,
+            // and the few connections to servers close by themselves.
             Action::Probe(_) | Action::Tell { .. } | Action::Close(_) | Action::Watch(_) | Action::Fetch => {}
         }
     }
 
-    /// Sets a rung. A set-up carries its rung; a server that has had it already is told of the change.
+    /// Sets the rung of a session. A set-up carries its rung; if the set-up was already sent, the server is told
+    /// of the change.
     fn set_rung(&mut self, id: SessionId, rung: Rung, out: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get_mut(id) else { return };
         let changed = session.rung.replace(rung) != Some(rung);
@@ -216,7 +227,7 @@
     }
 }
 
-/// What a repeated set-up does, by class.
-fn repeats(settings: &Settings) -> Vec<Idempotency> {
+/// Returns for each class whether a set-up may be repeated.
+fn idempotency_by_class(settings: &Settings) -> Vec<Idempotency> {
     settings.classes.iter().map(|class| class.idempotency).collect()
 }
--- a/src/message/line.rs
+++ b/src/message/line.rs
@@ -1,55 +1,56 @@
-//! JSON lines: each holds one object with type, id, fields and, where they belong, cause and description.
+//! The JSON encoding: one object per line, with a type, an id, fields and, where applicable, a cause and a session
+//! description.
 
 use std::collections::BTreeMap;
 
 use serde_json::{Map, Value};
 
-use super::{Inbox, Kind, LARGEST, Malformed};
+use super::{Kind, MAX_MESSAGE_BYTES, Malformed, ReadBuffer};
 use crate::api::SessionId;
 
-/// One message of a viewer's connection.
+/// A message on a viewer's connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// What it is.
+    /// The message type.
     pub kind: Kind,
-    /// Its session.
+    /// The session that it belongs to.
     pub id: SessionId,
-    /// Its fields, numbers as text.
+    /// The fields; numeric values are kept as text.
     pub fields: BTreeMap<String, String>,
-    /// The cause.
+    /// The cause of a release, if any.
     pub cause: Option<u8>,
-    /// The description.
+    /// The session description, if any.
     pub sdp: Option<String>,
 }
 
 impl Line {
-    /// A message with nothing but its type and id.
+    /// Creates a message without fields, cause or description.
     pub fn new(kind: Kind, id: SessionId) -> Line {
         Line { kind, id, fields: BTreeMap::new(), cause: None, sdp: None }
     }
 
-    /// With a cause.
+    /// Sets the cause.
     pub fn cause(mut self, cause: u8) -> Line {
         self.cause = Some(cause);
         self
     }
 
-    /// With one more field.
+    /// Adds a field.
     pub fn field(mut self, name: &str, value: impl ToString) -> Line {
         self.fields.insert(name.to_owned(), value.to_string());
         self
     }
 
-    /// With a description.
+    /// Sets the session description.
     pub fn sdp(mut self, sdp: &str) -> Line {
         self.sdp = Some(sdp.to_owned());
         self
     }
 
-    /// The bytes, line feed included, or that they would be too many.
+    /// Returns the encoded line including its line feed, or an error if it would exceed the maximum size.
     pub fn encode(&self) -> Result<Vec<u8>, Malformed> {
         let mut object = Map::new();
-        object.insert("type".into(), self.kind.word().into());
+        object.insert("type".into(), self.kind.name().into());
         object.insert("id".into(), format!("{:016x}", self.id.0).into());
         let fields = self.fields.iter().map(|(k, v)| (k.clone(), Value::from(v.as_str())));
         object.insert("fields".into(), Value::Object(fields.collect()));
@@ -61,13 +62,13 @@
         }
         let mut bytes = Value::Object(object).to_string().into_bytes();
         bytes.push(b'\n');
-        if bytes.len() > LARGEST { Err(Malformed::TooLarge) } else { Ok(bytes) }
+        if bytes.len() > MAX_MESSAGE_BYTES { Err(Malformed::TooLarge) } else { Ok(bytes) }
     }
 
     fn decode(bytes: &[u8]) -> Result<Line, Malformed> {
         let value: Value = serde_json::from_slice(bytes).map_err(|_| Malformed::BadJson)?;
         let text = |name: &str| value.get(name).and_then(Value::as_str);
-        let kind = Kind::from_word(text("type").ok_or(Malformed::BadJson)?).ok_or(Malformed::UnknownType)?;
+        let kind = Kind::from_name(text("type").ok_or(Malformed::BadJson)?).ok_or(Malformed::UnknownType)?;
         let id = parse_id(text("id").ok_or(Malformed::BadId)?).ok_or(Malformed::BadId)?;
         let mut fields = BTreeMap::new();
         match value.get("fields") {
@@ -77,7 +78,7 @@
                     match value {
                         Value::String(s) => fields.insert(name.clone(), s.clone()),
                         Value::Number(n) => fields.insert(name.clone(), n.to_string()),
-                        // Unknown forms are skipped like unknown fields.
+                        // Values of other types are skipped, like unknown fields.
                         _ => None,
                     };
                 }
@@ -92,51 +93,51 @@
     }
 }
 
-/// Reads a session's id: 16 hex digits.
+/// Parses a session id of 16 hexadecimal digits.
 pub fn parse_id(text: &str) -> Option<SessionId> {
     let hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     if hex { u64::from_str_radix(text, 16).ok().map(SessionId) } else { None }
 }
 
-/// Finds messages in a stream of bytes.
+/// An incremental decoder for a stream of JSON lines.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    inbox: Inbox,
-    /// Bytes at the front that hold no line feed.
+    buffer: ReadBuffer,
+    /// The number of leading bytes already found to contain no line feed.
     searched: usize,
 }
 
 impl Decoder {
-    /// Takes bytes in.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.inbox.feed(bytes);
+        self.buffer.feed(bytes);
     }
 
-    /// Whether a message has begun that is not whole yet.
-    pub fn begun(&self) -> bool {
-        !self.inbox.is_empty()
+    /// Whether an incomplete message is buffered.
+    pub fn has_partial_message(&self) -> bool {
+        !self.buffer.is_empty()
     }
 
-    /// The next whole message, or none until more bytes come. Empty lines are skipped.
+    /// Decodes the next complete message; returns `None` if more bytes are needed. Blank lines are skipped.
     pub fn next_line(&mut self) -> Result<Option<Line>, Malformed> {
         loop {
-            let bytes = self.inbox.rest();
+            let bytes = self.buffer.unread();
             let Some(end) = bytes[self.searched..].iter().position(|b| *b == b'\n') else {
                 self.searched = bytes.len();
-                if bytes.len() >= LARGEST {
+                if bytes.len() >= MAX_MESSAGE_BYTES {
                     return Err(Malformed::TooLarge);
                 }
-                self.inbox.free_if_empty();
+                self.buffer.free_if_empty();
                 return Ok(None);
             };
             let end = self.searched + end;
-            if end + 1 > LARGEST {
+            if end + 1 > MAX_MESSAGE_BYTES {
                 return Err(Malformed::TooLarge);
             }
             let line = &bytes[..end];
             let blank = line.iter().all(u8::is_ascii_whitespace);
             let decoded = if blank { None } else { Some(Line::decode(line)) };
-            self.inbox.skip(end + 1);
+            self.buffer.consume(end + 1);
             self.searched = 0;
             if let Some(decoded) = decoded {
                 return decoded.map(Some);
--- a/src/net/files.rs
+++ b/src/net/files.rs
@@ -69,13 +69,13 @@
 /// Logs a new generation of the server list and passes it to the node.
 pub(super) fn announce(shared: &Handle, taken: GenerationChange) {
     log_generation(&taken);
-    step(shared, |node, now, out| node.update_server_list(now, taken.news, out));
+    step(shared, |node, now, out| node.update_server_list(now, taken.update, out));
     shared.list_changed.notify();
 }
 
 /// Offers an update of the server list from the board, the registry or the configuration to the roster.
 pub(super) fn offer(shared: &Handle, source: Source, update: ListUpdate) {
-    let outcome = shared.roster.borrow_mut().hear(shared.now(), source, update);
+    let outcome = shared.roster.borrow_mut().apply_update(shared.now(), source, update);
     match outcome {
         OfferOutcome::Taken(taken) => announce(shared, taken),
         OfferOutcome::Shadowed(by) => {
@@ -101,7 +101,7 @@
             }
             WatchEvent::Withdrawn => {
                 self.held_lists = None;
-                shared.roster.borrow_mut().withdraw();
+                shared.roster.borrow_mut().discard_held();
             }
             WatchEvent::Refused { set, finding, quiet } => {
                 let event = if set == SetId::Lists { "list.refused" } else { "script.refused" };
@@ -139,19 +139,19 @@
                     info!(event = "list.same", generation, digest = digest.as_deref());
                 }
             }
-            OfferOutcome::Held { until, dropped, of, news } => {
-                if news || is_requested {
+            OfferOutcome::Held { until, dropped, total, is_first_report } => {
+                if is_first_report || is_requested {
                     let wait_ms = (until - shared.now()).0 / 1000;
                     let digest = lists.digest.short();
-                    warn!(event = "list.held", dropped, of, wait_ms, digest = digest.as_str());
+                    warn!(event = "list.held", dropped, of = total, wait_ms, digest = digest.as_str());
                 }
                 self.held_lists = Some(lists);
                 shared.list_changed.notify();
             }
-            OfferOutcome::Older { revision, than } => {
+            OfferOutcome::Older { revision, in_use } => {
                 self.held_lists = None;
                 let file = self.file_name(Role::Servers);
-                let reason = format!("{revision} is older than {than}, which is in use");
+                let reason = format!("{revision} is older in_use {in_use}, which is in use");
                 warn!(event = "list.refused", file, field = "revision", reason = reason.as_str());
             }
             OfferOutcome::Shadowed(by) => {
@@ -234,7 +234,7 @@
                         .clone()
                         .map(|c| shared.roster.borrow_mut().restore(now, saved.generation, c, &started));
                     if let Some(OfferOutcome::Taken(taken)) = outcome {
-                        step(shared, |node, now, out| node.update_server_list(now, taken.news, out));
+                        step(shared, |node, now, out| node.update_server_list(now, taken.update, out));
                     }
                     self.adopt(shared, lists);
                 }
@@ -263,7 +263,7 @@
             changed: 0,
             removed: 0,
             digest: roster.current().digest,
-            news: ListUpdate { kind: ListKind::Changes, servers: Vec::new() },
+            update: ListUpdate { kind: ListKind::Changes, servers: Vec::new() },
         });
     }
 
@@ -386,7 +386,7 @@
         }
         let removals = {
             let node = shared.node.borrow();
-            shared.roster.borrow_mut().part(now, |id| node.has_sessions_at(id))
+            shared.roster.borrow_mut().remove_departed(now, |id| node.has_sessions_at(id))
         };
         if let Some(update) = removals {
             info!(event = "list.parted", servers = update.servers.len());
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -17,7 +17,7 @@
 
     /// The number of sessions that the memory allows.
     pub fn max_sessions(&self) -> usize {
-        self.broker.most_sessions()
+        self.broker.max_sessions()
     }
 
     /// Starts to serve.
@@ -124,7 +124,7 @@
     /// Handles the report of the other process that a client has left a session.
     pub fn client_left_at_peer(&mut self, now: Micros, id: u64, out: &mut Vec<Command>) {
         let id = SessionId(id);
-        if self.broker.knows(id) {
+        if self.broker.has_session(id) {
             self.forget_session(id);
             self.handle_input(now, Input::ClientLeft(id), out);
         }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -115,7 +115,7 @@
         let timings = Timings::new(&config.settings, config.idle, config.connect_timeout);
         Node {
             broker: Broker::new(config.settings.clone(), config.seed)
-                .bounded(config.memory / SESSION_MEMORY_DIVISOR, config.settings.max_retry_after),
+                .with_memory_limit(config.memory / SESSION_MEMORY_DIVISOR, config.settings.max_retry_after),
             names: config.names.clone(),
             settings: config.settings.clone(),
             links: Links::new(timings),
@@ -235,7 +235,7 @@
         self.handle_input(now, Input::Tick, out);
         if now >= self.next_inspection {
             self.next_inspection = now + INSPECTION_INTERVAL;
-            self.names.lately &= now < self.reloaded_at + self.timings.old_names_accepted;
+            self.names.recently_changed &= now < self.reloaded_at + self.timings.old_names_accepted;
             self.pending_ends.retain(|(until, _)| *until > now);
             self.check_silent_servers(now, out);
             self.links.tick(now, out);
--- a/src/node/ruled.rs
+++ b/src/node/ruled.rs
@@ -47,7 +47,7 @@
         if rules.local.versions() == before {
             return;
         }
-        let listed = self.broker.listed();
+        let listed = self.broker.listed_servers();
         let mut changes = Vec::new();
         for entry in listed {
             let is_barred = rules.local.bars(&entry.id.0);
--- a/src/operate/settings.rs
+++ b/src/operate/settings.rs
@@ -101,9 +101,9 @@
         old_names.classes.get(o) == new_names.classes.get(n)
             && old_settings.classes.get(o) == new_settings.classes.get(n)
     };
-    let (class_numbers, retired) =
+    let (class_numbers, retired_classes) =
         assign_numbers(old_settings.classes.len(), new_settings.classes.len(), same_class, |o| {
-            old_names.retired.contains(&o) && !class_in_use(o)
+            old_names.retired_classes.contains(&o) && !class_in_use(o)
         });
     settings.classes = update_table(&old_settings.classes, &new_settings.classes, &class_numbers);
     // The share of a tenant may change while its requests are in progress, as it belongs to the tenant, not to them.
@@ -118,9 +118,9 @@
         tenants: update_table(&old_names.tenants, &new_names.tenants, &tenant_numbers),
         zones: old_names.zones.clone(),
         kinds: old_names.kinds.clone(),
-        retired,
+        retired_classes,
         retired_tenants,
-        lately: true,
+        recently_changed: true,
     };
     MergedSettings { settings, names, class_numbers, tenant_numbers, deferred }
 }
@@ -217,7 +217,7 @@
             (Some(0), Some(3)),
             "requests may be on their way"
         );
-        let names = SettingNames { lately: false, ..gone.names };
+        let names = SettingNames { recently_changed: false, ..gone.names };
         assert_eq!((names.class("paid"), names.class("new")), (None, Some(3)));
         assert_eq!(gone.settings.classes.len(), 4);
     }
--- a/src/platform/links.rs
+++ b/src/platform/links.rs
@@ -259,7 +259,8 @@
         if messages.iter().any(|message| matches!(message, ServerMessage::Note(_, Note::Link(_)))) {
             self.last_link_note = now;
         }
-        link.partial_since = if link.decoder.begun() { link.partial_since.or(Some(now)) } else { None };
+        link.partial_since =
+            if link.decoder.has_partial_message() { link.partial_since.or(Some(now)) } else { None };
         (link.server.clone(), messages)
     }
 }
--- a/src/platform/viewer.rs
+++ b/src/platform/viewer.rs
@@ -39,7 +39,7 @@
 
     /// Whether a message has begun that is not complete yet.
     pub fn has_partial_message(&self) -> bool {
-        self.decoder.begun()
+        self.decoder.has_partial_message()
     }
 
     /// Returns the next message, or none until more bytes arrive.
