--- a/src/node/connections.rs
+++ b/src/node/connections.rs
@@ -16,8 +16,8 @@
     }
 
     /// Handles a connection accepted from a client.
-    pub fn accepted(&mut self, now: Micros, conn: ConnId, front: Protocol) {
-        if front == Protocol::Whip {
+    pub fn accepted(&mut self, now: Micros, conn: ConnId, protocol: Protocol) {
+        if protocol == Protocol::Whip {
             if let Some(whip) = &mut self.whip {
                 whip.accepted(now, conn);
             }
@@ -87,7 +87,9 @@
             idle.map(|(conn, c)| ((c.has_spoken, with_session.contains(conn), c.last_used), *conn)).min();
         let http = self.whip.as_ref().and_then(|whip| whip.longest_idle());
         match (viewer, http) {
-            (Some(((spoke, _, used), conn)), http) if http.is_none_or(|(of, _)| (spoke, used) <= of) => {
+            (Some(((has_spoken, _, last_used), conn)), http)
+                if http.is_none_or(|(rank, _)| (has_spoken, last_used) <= rank) =>
+            {
                 if let Some(c) = self.viewers.get_mut(&conn) {
                     c.is_closing = true;
                 }
