--- a/tests/cuts.rs
+++ b/tests/cuts.rs
@@ -35,7 +35,7 @@
         conn: ConnId,
         bytes: Vec<u8>,
         cut: Option<usize>,
-        made: Option<String>,
+        location: Option<String>,
     },
     SetUp {
         booking: u32,
@@ -60,8 +60,8 @@
     booking: u32,
     tries: u32,
     deletes: bool,
-    whole: bool,
-    asked: Micros,
+    is_complete: bool,
+    asked_at: Micros,
     responses: Responses,
     answers: Vec<u16>,
 }
@@ -183,7 +183,7 @@
         decoder.feed(&bytes[..cut.unwrap_or(bytes.len())]);
         let request = decoder.next_request(64 * 1024).expect("the broker writes complete requests");
         if let Some(request) = request {
-            let (answer, made) = match request.method.as_str() {
+            let (answer, location) = match request.method.as_str() {
                 "DELETE" => {
                     let stood = self
                         .sessions
@@ -199,20 +199,20 @@
                     if self.rng.u32(0..10) == 0 {
                         ("HTTP/1.1 503 x\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n".into(), None)
                     } else {
-                        let place = format!("/made/{}", request.target.split("of=").nth(1).unwrap());
+                        let location = format!("/made/{}", request.target.split("of=").nth(1).unwrap());
                         if self.sessions.values().any(|m| m.booking == booking) {
                             self.duplicate_booking = Some(booking.clone());
                         }
                         self.sessions.insert(
-                            place.clone(),
+                            location.clone(),
                             EdgeSession { booking, is_established: true, is_reported: false },
                         );
                         let sdp = "v=0\r\nm=video 9\r\n";
                         let head = format!(
-                            "HTTP/1.1 201 x\r\nLocation: {place}\r\nContent-Type: application/sdp\r\nContent-Length: {}\r\n\r\n",
+                            "HTTP/1.1 201 x\r\nLocation: {location}\r\nContent-Type: application/sdp\r\nContent-Length: {}\r\n\r\n",
                             sdp.len()
                         );
-                        (head + sdp, Some(place))
+                        (head + sdp, Some(location))
                     }
                 }
             };
@@ -221,7 +221,8 @@
                 // Some answers arrive after the client's deadline.
                 let late = if self.rng.u32(0..25) == 0 { DEADLINE_MS } else { 0 };
                 let delay = ms(late + self.rng.u64(1..30));
-                return self.schedule(delay, Event::Answer { conn, bytes: answer.into_bytes(), cut, made });
+                return self
+                    .schedule(delay, Event::Answer { conn, bytes: answer.into_bytes(), cut, location });
             }
         }
         if let Some(cut) = cut {
@@ -247,9 +248,9 @@
         }
         while let Ok(Some(response)) = client.responses.next_response(64 * 1024) {
             client.answers.push(response.status);
-            assert!(client.whole, "only a complete request is answered");
+            assert!(client.is_complete, "only a complete request is answered");
             assert_eq!(client.answers.len(), 1, "one answer for each request");
-            let took = self.now - client.asked;
+            let took = self.now - client.asked_at;
             assert!(took <= ms(DEADLINE_MS + 50), "answered in time: {took:?}");
             *self.statuses.entry(response.status).or_default() += 1;
             self.answered += 1;
@@ -297,9 +298,10 @@
         let bytes = if deletes { http("DELETE", &path, None) } else { http("POST", &path, Some(&offer)) };
         let cut = self.random_cut(bytes.len());
         let conn = self.node.allocate_conn_id();
-        let (asked, responses, answers) = (self.now, Responses::default(), Vec::new());
-        let whole = cut.is_none_or(|cut| cut == bytes.len());
-        self.clients.insert(conn, Client { booking, tries, deletes, whole, asked, responses, answers });
+        let (asked_at, responses, answers) = (self.now, Responses::default(), Vec::new());
+        let is_complete = cut.is_none_or(|cut| cut == bytes.len());
+        self.clients
+            .insert(conn, Client { booking, tries, deletes, is_complete, asked_at, responses, answers });
         self.run_node(|node, now, _| node.accepted(now, conn, Protocol::Whip));
         self.run_node(|node, now, out| node.bytes(now, conn, &bytes[..cut.unwrap_or(bytes.len())], out));
         if cut.is_some() && self.drop_client(conn) {
@@ -315,17 +317,17 @@
                 self.edges.remove(&conn);
                 self.run_node(|node, now, out| node.closed(now, conn, &ConnectionEnd::Refused, out));
             }
-            Event::Answer { conn, bytes, cut, made } => {
+            Event::Answer { conn, bytes, cut, location } => {
                 if !self.edges.contains_key(&conn) {
                     return;
                 }
-                let heard = &bytes[..cut.unwrap_or(bytes.len())];
-                let told = heard.windows(4).any(|w| w == b"\r\n\r\n");
-                if let Some(made) = made.and_then(|place| self.sessions.get_mut(&place)) {
-                    made.is_reported = told;
+                let received = &bytes[..cut.unwrap_or(bytes.len())];
+                let has_head = received.windows(4).any(|w| w == b"\r\n\r\n");
+                if let Some(session) = location.and_then(|location| self.sessions.get_mut(&location)) {
+                    session.is_reported = has_head;
                 }
-                if !heard.is_empty() {
-                    self.run_node(|node, now, out| node.bytes(now, conn, heard, out));
+                if !received.is_empty() {
+                    self.run_node(|node, now, out| node.bytes(now, conn, received, out));
                 }
                 if cut.is_some() && self.edges.remove(&conn).is_some() {
                     let how =
@@ -375,21 +377,25 @@
         let missing: Vec<u32> = (0..BOOKING_COUNT).filter(|b| !simulation.finished.contains(b)).collect();
         assert!(missing.is_empty(), "seed {seed}: unfinished bookings: {missing:?}");
         let mut sessions: BTreeMap<&str, u32> = BTreeMap::new();
-        for made in simulation.sessions.values() {
-            *sessions.entry(&made.booking).or_default() += 1;
+        for session in simulation.sessions.values() {
+            *sessions.entry(&session.booking).or_default() += 1;
         }
         assert!(sessions.values().all(|n| *n == 1), "seed {seed}: a paid session was set up twice");
-        let standing: Vec<(&String, &EdgeSession)> =
+        let remaining: Vec<(&String, &EdgeSession)> =
             simulation.sessions.iter().filter(|(_, m)| m.is_established).collect();
-        for (place, made) in &standing {
-            assert!(!made.is_reported && !named, "seed {seed}: {place} of booking {} remains", made.booking);
+        for (location, session) in &remaining {
+            assert!(
+                !session.is_reported && !named,
+                "seed {seed}: {location} of booking {} remains",
+                session.booking
+            );
         }
         assert_eq!(simulation.node.open_counts(), (0, 0), "seed {seed}: the broker holds no session");
         assert_eq!(simulation.node.unheard_ends(), 0, "seed {seed}: every end was acknowledged");
         for status in [200, 201] {
             assert!(simulation.statuses.contains_key(&status), "seed {seed}: {:?}", simulation.statuses);
         }
-        stranded += standing.len();
+        stranded += remaining.len();
         set_up += simulation.sessions.len();
         answered += simulation.answered;
     }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -398,28 +398,29 @@
 #[test]
 fn closes_viewer_connections_without_requests_and_keeps_waiting_ones() {
     let mut harness = Harness::new();
-    let (plays, _) = harness.establish_session();
-    let [silent, half, slow, waits, heard] = [(); 5].map(|()| harness.connect_viewer());
+    let (playing, _) = harness.establish_session();
+    let [silent, half, stalled, waiting, pinged] = [(); 5].map(|()| harness.connect_viewer());
     harness.bytes(half, b"{\"type\":");
     let ping = b"{\"type\":\"ping\",\"id\":\"9b1f03aa5c7e2d42\"}\n";
-    harness.bytes(slow, ping);
-    harness.bytes(slow, b"{");
-    harness.request_as(waits, SessionId(2));
+    harness.bytes(stalled, ping);
+    harness.bytes(stalled, b"{");
+    harness.request_as(waiting, SessionId(2));
     harness.advance_ms(1000);
-    harness.bytes(heard, ping);
+    harness.bytes(pinged, ping);
     harness.advance_ms(900);
     assert!(harness.close_commands().is_empty());
     harness.advance_ms(400);
-    assert_eq!(harness.close_commands(), [(silent, "silent"), (half, "unfinished"), (slow, "unfinished")]);
+    assert_eq!(harness.close_commands(), [(silent, "silent"), (half, "unfinished"), (stalled, "unfinished")]);
     // Later input on them is ignored.
     harness.out.clear();
     harness.bytes(silent, ping);
     assert!(harness.written_to(silent).is_empty());
     assert!(harness.close_commands().is_empty(), "one may ask more, and one waits for its answer");
     harness.advance_ms(1400);
-    assert_eq!(harness.close_commands(), [(heard, "idle")]);
+    assert_eq!(harness.close_commands(), [(pinged, "idle")]);
     assert!(
-        harness.node.open_counts().1 > 0 && !harness.close_commands().iter().any(|(conn, _)| *conn == plays)
+        harness.node.open_counts().1 > 0
+            && !harness.close_commands().iter().any(|(conn, _)| *conn == playing)
     );
 }
 
@@ -427,17 +428,17 @@
 #[test]
 fn closes_least_useful_connection_first_when_descriptors_are_short() {
     let mut harness = Harness::new();
-    let (plays, _) = harness.establish_session();
-    let [waits, spoke, silent, late] = [(); 4].map(|()| {
+    let (playing, _) = harness.establish_session();
+    let [waiting, pinged, silent, newest] = [(); 4].map(|()| {
         harness.now = harness.now + Micros(1000);
         harness.connect_viewer()
     });
-    harness.request_as(waits, SessionId(2));
-    harness.bytes(spoke, b"{\"type\":\"ping\",\"id\":\"9b1f03aa5c7e2d42\"}\n");
+    harness.request_as(waiting, SessionId(2));
+    harness.bytes(pinged, b"{\"type\":\"ping\",\"id\":\"9b1f03aa5c7e2d42\"}\n");
     for _ in 0..6 {
         harness.node.make_room(harness.now, &mut harness.out);
     }
-    assert_eq!(harness.close_commands(), [silent, late, spoke, plays].map(|conn| (conn, "no-room")));
+    assert_eq!(harness.close_commands(), [silent, newest, pinged, playing].map(|conn| (conn, "no-room")));
 }
 
 /// Guards against field values that no server can use or that would keep a request or session for good. Each
