--- a/src/operate/handover/mod.rs
+++ b/src/operate/handover/mod.rs
@@ -142,15 +142,15 @@
 }
 
 /// Returns the note of a kind and a value; `None` if the kind is unknown or the value is not finite.
-pub fn decode_note(number: u8, figure: f64) -> Option<Note> {
+pub fn decode_note(number: u8, value: f64) -> Option<Note> {
     Some(match number {
-        1 => Note::Delivered(figure),
-        2 => Note::Rung(Rung(figure.max(0.0) as usize)),
-        3 => Note::Link(figure),
-        4 => Note::Uplink(figure),
+        1 => Note::Delivered(value),
+        2 => Note::Rung(Rung(value.max(0.0) as usize)),
+        3 => Note::Link(value),
+        4 => Note::Uplink(value),
         _ => return None,
     })
-    .filter(|_| figure.is_finite())
+    .filter(|_| value.is_finite())
 }
 
 /// Returns the name of how a session ended. All but completion and cancellation count as a reset.
@@ -163,8 +163,8 @@
 }
 
 /// Returns the status of a name. An unknown name counts as a reset.
-pub fn parse_status(word: &str) -> Status {
-    match word {
+pub fn parse_status(name: &str) -> Status {
+    match name {
         "completed" => Status::Completed,
         "cancelled" => Status::Cancelled,
         _ => Status::Reset,
@@ -187,12 +187,12 @@
     fn sample_messages() -> Vec<Message> {
         let mut request = Request::new(SessionId(7), Text::from("t"), Micros(0), 3, 2);
         (request.home, request.viewer) = (1, Text::from("v"));
-        let passed = SessionTransfer::new(&request, "paid", "home", &ServerId::new("s-0"), Some(Rung(1)));
-        assert_eq!(passed.request(0, 0), request);
+        let transfer = SessionTransfer::new(&request, "paid", "home", &ServerId::new("s-0"), Some(Rung(1)));
+        assert_eq!(transfer.request(0, 0), request);
         vec![
             Message::TakeOver { version: VERSION, started: 1 },
             Message::Yielded,
-            Message::Session(passed),
+            Message::Session(transfer),
             Message::Over { id: 7, server: "s-0".into(), how: "completed".into() },
             Message::Noted { id: 7, server: "s-0".into(), note: 3, figure: 0.5 },
             Message::Left { id: 7 },
