--- a/src/platform/timings.rs
+++ b/src/platform/timings.rs
@@ -4,8 +4,8 @@
 use crate::api::{Micros, Settings};
 use crate::board;
 
-/// A client must be told within 8 s of the end of a session whose server could send no release (protocol page,
-/// rules on sockets).
+/// A client must be told within 8 s of the end of a session whose server could send no release (protocol page, rules on
+/// sockets).
 const END_TOLD_WITHIN: Micros = Micros(8_000_000);
 /// What is kept of that for the timers between two checks and for the client's line.
 const END_SPARE: Micros = Micros(500_000);
@@ -15,8 +15,8 @@
 const SILENT_LEAST: Micros = Micros(1_000_000);
 /// How much later than due a server's notes may come before the server is checked.
 const NOTES_SPARE: Micros = Micros(500_000);
-/// A connection that was idle for nearly as long as servers allow carries nothing new: a set-up that crosses its
-/// close could be neither proved nor disproved to have run.
+/// A connection that was idle for nearly as long as servers allow carries nothing new: a set-up that crosses its close
+/// could be neither proved nor disproved to have run.
 const IDLE_SPARE: Micros = Micros(3_000_000);
 /// Where servers close idle connections soon, no more than this part of their time is kept away from.
 const IDLE_SPARE_PART: u64 = 4;
