--- a/src/module/brain/held.rs
+++ b/src/module/brain/held.rs
@@ -165,8 +165,8 @@
         cache.entry(constraints).or_insert_with(|| self.availability(&constraints)).has_server
     }
 
-    /// Sends held sessions within their groups' shares of streams, and beyond them one title for each server with
-    /// room.
+    /// Sends held sessions within their groups' shares of streams, and beyond them one title for each server
+    /// with room.
     fn serve_groups(&mut self, out: &mut Vec<Action>) {
         let mut cache = AvailabilityByConstraints::new();
         let ready =
--- a/src/module/brain/rungs.rs
+++ b/src/module/brain/rungs.rs
@@ -13,12 +13,10 @@
 const MIN_LEVEL: f64 = -3.0;
 /// The utilization by which a raise stays below its limit, so that the next note does not undo it.
 const RAISE_MARGIN: f64 = 0.03;
-/// The number of switches that a raise must pay for within the horizon: its own and that of a likely later
-/// cut.
+/// The number of switches that a raise must pay for within the horizon: its own and a likely later cut's.
 const RAISE_SWITCH_COUNT: f64 = 2.0;
-/// The multiple of its own share of the room that a broker's raises may take, because some brokers' sessions
-/// are at their top already or may not change yet. In a broker's first ten seconds none of its sessions has
-/// changed, and one share is enough.
+/// The multiple of its own share of the room that a broker's raises may take: some brokers' sessions are at
+/// their top or may not change yet. In a broker's first 10 s none of its own has changed: one is enough.
 const RAISE_SHARE_FACTOR: f64 = 2.0;
 /// The limit at which a playing session's step is cut lies this many times as far from the limit of the top
 /// rung as that of a new session: steps of more worth are given up late, as each change costs a switch.
@@ -31,19 +29,16 @@
 const CUT_HYSTERESIS: f64 = 0.12;
 /// The minimum time between rung changes of a playing session, set by the design.
 pub(super) const MIN_CHANGE_INTERVAL: Micros = Micros(10_000_000);
-/// The seconds over which a change must pay for its switch: about as long as a change lasts under the limit
-/// above.
+/// The seconds over which a change must pay for its switch: about as long as one lasts under the limit above.
 const CHANGE_HORIZON_S: f64 = 10.0;
 
-/// Returns how much of a link's and of the uplink's rate this broker may give up or take, for a group, a
-/// limit and the rate of a step.
+/// How much of a link's and the uplink's rate a broker may give up or take, by group, limit and step rate.
 type Surplus<'a> = &'a dyn Fn(&RungGroup, f64, f64) -> [f64; 2];
 
 impl Brain {
-    /// Returns the level of a step up to `rung`, by its worth per kB: about the number of rungs that it
-    /// counts below the top. The last step of the ladder at the usual worth has level 0, and each lower step
-    /// counts about 1 more. A heavier class, a shared stream or the price of the switch shift the level like
-    /// steps.
+    /// Returns the level of a step up to `rung`, by its worth per kB: about how many rungs below the top it
+    /// counts as. The ladder's last step at the usual worth has level 0, and each lower step about 1 more.
+    /// A heavier class, a shared stream or the price of the switch shift the level like steps.
     pub(super) fn level(&self, group: &RungGroup, rung: usize, switch: f64) -> f64 {
         let (w, kb, last) =
             (&self.settings.rung_worth, &self.settings.rung_kb, self.settings.rung_kb.len() - 1);
@@ -74,9 +69,8 @@
             session_ids.map(|id| (id, &self.state.sessions[id])).filter(|(_, s)| s.phase != Phase::Answered)
         {
             let (server, class, rung, is_new) = (s.server, s.request.class, s.rung, new_session == Some(id));
-            let is_interval_over =
-                s.rung_changed_at.is_none_or(|at| self.state.now >= at + MIN_CHANGE_INTERVAL);
-            let may_change = is_new || is_interval_over && s.phase == Phase::Playing;
+            let is_settled = s.rung_changed_at.is_none_or(|at| self.state.now >= at + MIN_CHANGE_INTERVAL);
+            let may_change = is_new || is_settled && s.phase == Phase::Playing;
             let (ids, min_rung, max_rung, worth, is_playing) =
                 (vec![id], s.min_rung, s.max_rung, s.worth, !is_new);
             if self.settings.classes[class].live {
@@ -106,18 +100,12 @@
         groups
     }
 
-    /// Returns this broker's share of the demand on one link or on a rack's uplink.
-    pub(super) fn own_share(
-        &self,
-        groups: &[RungGroup],
-        link: Option<usize>,
-        utilization: f64,
-        kb: f64,
-    ) -> f64 {
+    /// Returns this broker's share of the demand on one link or a rack's uplink, whose utilization is `load`.
+    pub(super) fn own_share(&self, groups: &[RungGroup], link: Option<usize>, load: f64, kb: f64) -> f64 {
         let own_groups = groups.iter().filter(|group| link.is_none_or(|i| group.server == i));
         let own_kb: f64 =
             own_groups.map(|group| self.settings.stream_kb(group.class, group.ids.len(), group.rung)).sum();
-        (own_kb / (utilization * kb).max(1.0)).clamp(0.0, 1.0)
+        (own_kb / (load * kb).max(1.0)).clamp(0.0, 1.0)
     }
 
     /// Returns the rate of a group's step up to a rung.
@@ -127,10 +115,9 @@
             - self.settings.stream_kb(group.class, n, rung.saturating_sub(1))
     }
 
-    /// Plans steps down or up, those with the least or the most worth per kB first; several steps make one
-    /// change. `surplus` returns how much of a link and of the uplink this broker may still give up or take
-    /// at a limit. A step larger than that is made with the corresponding probability; otherwise brokers with
-    /// one session each would never do their part.
+    /// Plans steps down or up, those with the least or the most worth per kB first; several make one change.
+    /// `surplus` returns how much of a link and the uplink this broker may still give up or take at a limit.
+    /// A larger step is made with the corresponding probability; else single-session brokers would never act.
     pub(super) fn plan_changes(
         &mut self,
         groups: &[RungGroup],
@@ -187,8 +174,7 @@
 
     /// Cuts rungs: while a link or the uplink is above the limit of the step with the least worth per kB,
     /// that step is taken back. Each broker removes its own share of an excess that existed before, and all
-    /// of what a new session adds. This also handles links and uplinks that have become weaker, whatever the
-    /// cause.
+    /// of what a new session adds. This also handles links and uplinks that became weaker for any cause.
     pub(super) fn cut_rungs(
         &mut self,
         rack: usize,
@@ -196,10 +182,9 @@
         out: &mut Vec<Action>,
     ) {
         let groups = self.rung_groups(&self.state.by_rack[rack], new_session.map(|(id, _)| id));
-        let new_demand =
-            new_session.map_or((usize::MAX, 0.0), |(id, kb)| (self.state.sessions[&id].server, kb));
+        let arrival = new_session.map_or((usize::MAX, 0.0), |(id, kb)| (self.state.sessions[&id].server, kb));
         let excess = |utilization: f64, kb: f64, i: Option<usize>| {
-            let added = if i.is_none_or(|i| i == new_demand.0) { new_demand.1 } else { 0.0 };
+            let added = if i.is_none_or(|i| i == arrival.0) { arrival.1 } else { 0.0 };
             let (existing, share) = (utilization - added / kb, self.own_share(&groups, i, utilization, kb));
             move |limit: f64| added + (existing - limit) * kb * if existing > limit { share } else { 1.0 }
         };
