--- a/src/net/files.rs
+++ b/src/net/files.rs
@@ -151,7 +151,7 @@
             OfferOutcome::Older { revision, in_use } => {
                 self.held_lists = None;
                 let file = self.file_name(Role::Servers);
-                let reason = format!("{revision} is older in_use {in_use}, which is in use");
+                let reason = format!("{revision} is older than {in_use}, which is in use");
                 warn!(event = "list.refused", file, field = "revision", reason = reason.as_str());
             }
             OfferOutcome::Shadowed(by) => {
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -33,7 +33,7 @@
     // A file that lacks a field that the one in force has may be incomplete: nothing of it is applied.
     if let Some(field) = missing_key(&old.raw, &new.raw).filter(|_| !old.raw.is_null()) {
         shared.node.borrow_mut().record_reload(false);
-        return warn!(event = "reload refused", problem = %format_args!("{field}: missing_key, but set in the configuration in force"));
+        return warn!(event = "reload refused", problem = %format_args!("{field}: missing, but set in the configuration in force"));
     }
     let mut unchangeable = old.fixed(&new);
     unchangeable.extend(step(shared, |node, now, out| node.reload(now, &new, out)));
