--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -223,7 +223,7 @@
     }
 
     /// Whether a server is one of these.
-    pub fn serves(&self, server: &ServerId) -> bool {
+    pub fn knows(&self, server: &ServerId) -> bool {
         self.targets.contains_key(server)
     }
 
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -22,7 +22,7 @@
     /// notes need one.
     pub(super) fn check_silent_servers(&mut self, now: Micros, out: &mut Vec<Command>) {
         // Servers that speak WHIP or WHEP have no permanent connection that could be silent.
-        let platform_servers = self.servers.keys().filter(|s| !self.pool.serves(s));
+        let platform_servers = self.servers.keys().filter(|s| !self.pool.knows(s));
         let busy: Vec<ServerId> =
             platform_servers.filter(|s| self.broker.has_established_at(s)).cloned().collect();
         let connected = self.links.connected_servers();
@@ -75,7 +75,7 @@
                     lost.extend(is_replaced.then(|| id.clone()));
                 }
                 None => {
-                    let is_replaced = self.pool.serves(id) && state != ServerState::Gone;
+                    let is_replaced = self.pool.knows(id) && state != ServerState::Gone;
                     self.pool.forget(id);
                     lost.extend(is_replaced.then(|| id.clone()));
                     lost.extend(self.links.listed(id, listed.address, state, out));
@@ -193,7 +193,7 @@
             tracer.set_up_sent(now, set_up.id, &set_up.server, set_up.rung);
         }
         let before = out.len();
-        let sent = if self.pool.serves(&set_up.server) {
+        let sent = if self.pool.knows(&set_up.server) {
             self.pool.set_up(now, set_up, &class, out)
         } else {
             self.links.set_up(now, set_up, &class, out)
