--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -263,7 +263,7 @@
     }
 
     /// Ends that are not heard yet.
-    pub fn ending(&self) -> usize {
+    pub fn pending_ends(&self) -> usize {
         self.ends.len()
     }
 
--- a/src/edge/tests.rs
+++ b/src/edge/tests.rs
@@ -129,9 +129,9 @@
     assert_eq!(notes, [Note::Link(0.5), Note::Uplink(0.2)]);
     world.pool.release(world.now, SessionId(1), &mut world.out);
     assert!(world.written()[0].starts_with("DELETE /made/1 HTTP/1.1\r\n"));
-    assert_eq!(world.pool.ending(), 1);
+    assert_eq!(world.pool.pending_ends(), 1);
     world.hear(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    assert_eq!((world.pool.ending(), world.pool.holds(SessionId(1))), (0, false));
+    assert_eq!((world.pool.pending_ends(), world.pool.holds(SessionId(1))), (0, false));
 }
 
 #[test]
@@ -149,7 +149,7 @@
             world.closed(conn, &GONE);
         }
     }
-    assert_eq!((tries, world.pool.ending()), (MOST_TRIES as usize, 0));
+    assert_eq!((tries, world.pool.pending_ends()), (MOST_TRIES as usize, 0));
     assert!(
         world.told.iter().any(|t| matches!(t, PoolEvent::Log(line) if line.starts_with("end not heard")))
     );
@@ -183,7 +183,7 @@
             world.hear(conn, "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n");
         }
     }
-    assert_eq!((tries, world.pool.ending()), (UNSURE_TRIES, 0));
+    assert_eq!((tries, world.pool.pending_ends()), (UNSURE_TRIES, 0));
 }
 
 #[test]
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -140,7 +140,7 @@
 
     /// The number of session ends that media servers have not acknowledged.
     pub fn unheard_ends(&self) -> usize {
-        self.pool.ending()
+        self.pool.pending_ends()
     }
 
     /// Handles a message of an edge server.
