--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -258,7 +258,7 @@
     }
 
     /// `Link` headers that name ICE servers, of the answer that a session had.
-    pub fn ice(&self, id: SessionId) -> &[String] {
+    pub fn ice_links(&self, id: SessionId) -> &[String] {
         self.resources.get(&id).map_or(&[], |r| &r.ice)
     }
 
--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -108,7 +108,7 @@
         match effect {
             Effect::Established(id, answer) if self.is_whip_session(id) => {
                 self.metrics.record_answer(id, Outcome::Fulfilled);
-                let ice = self.pool.ice(id).to_vec();
+                let ice = self.pool.ice_links(id).to_vec();
                 self.with_whip(now, out, |whip, _, actions| whip.plays(now, id, answer, ice, actions));
                 self.with_whip(now, out, |whip, nothing_ran, actions| {
                     whip.read_on(now, nothing_ran, actions)
