--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -416,7 +416,7 @@
     }
 
     /// Tells a server a session's new rung, where it has a place for that.
-    pub fn rate(&mut self, now: Micros, id: SessionId, rung: Rung, out: &mut Vec<Command>) {
+    pub fn change_rung(&mut self, now: Micros, id: SessionId, rung: Rung, out: &mut Vec<Command>) {
         let Some(resource) = self.resources.get(&id) else { return };
         let Some(layer) = &resource.layer else { return };
         let body = serde_json::json!({"encodingId": rung.0.to_string()}).to_string();
--- a/src/edge/tests.rs
+++ b/src/edge/tests.rs
@@ -274,7 +274,7 @@
     let layer = "Link: <http://media.example/made/1/layer>; rel=\"urn:ietf:params:whep:ext:core:layer\", <stun:a,b>; rel=ice-server\r\n";
     world.standing(1, layer);
     assert_eq!(world.pool.ice_links(SessionId(1)), ["<stun:a,b>; rel=ice-server"]);
-    world.pool.rate(world.now, SessionId(1), Rung(3), &mut world.out);
+    world.pool.change_rung(world.now, SessionId(1), Rung(3), &mut world.out);
     let asked = world.written();
     assert!(
         asked[0].starts_with("POST /made/1/layer ") && asked[0].ends_with("{\"encodingId\":\"3\"}"),
--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -137,7 +137,7 @@
             Effect::Release(id, _) if self.pool.holds(id) => self.pool.release(now, id, out),
             Effect::Rate(id, server, rung) => {
                 if self.pool.holds(id) {
-                    self.pool.rate(now, id, rung, out);
+                    self.pool.change_rung(now, id, rung, out);
                 } else {
                     self.links.rate(now, id, &server, rung, out);
                 }
