--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -762,7 +762,7 @@
     }
 
     /// A server is lost with what stood there. Where it may only have started anew, what it still holds is ended.
-    pub fn lost(&mut self, now: Micros, server: &ServerId, may_hold: bool, out: &mut Vec<Command>) {
+    pub fn server_lost(&mut self, now: Micros, server: &ServerId, may_hold: bool, out: &mut Vec<Command>) {
         let there = self.resources.iter().filter(|(_, r)| r.server == *server);
         let ids: Vec<SessionId> = there.map(|(id, _)| *id).collect();
         for id in ids {
--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -92,7 +92,7 @@
             }
         }
         for server in lost {
-            self.pool.lost(now, &server, false, out);
+            self.pool.server_lost(now, &server, false, out);
             self.handle_input(now, Input::ServerLost(server), out);
         }
         let servers: Vec<ServerEntry> = update.servers.into_iter().map(|l| l.entry).collect();
@@ -123,7 +123,7 @@
                     // A draining server may refuse connections while its sessions play.
                     let ready = self.servers.get(&server).is_some_and(|(s, _)| *s == ServerState::Ready);
                     if ready && self.broker.has_established_at(&server) {
-                        self.pool.lost(now, &server, true, out);
+                        self.pool.server_lost(now, &server, true, out);
                         self.handle_input(now, Input::ServerLost(server), out);
                     }
                 }
