--- a/fuzz/tests/readers.rs
+++ b/fuzz/tests/readers.rs
@@ -101,7 +101,7 @@
             assert!(!findings.0.is_empty(), "a refusal has a reason");
         }
         for form in ["TEXT ", "JSON "] {
-            let load = load::report(&format!("{form}{text}"));
+            let load = load::parse_report(&format!("{form}{text}"));
             assert!(load.util.is_none_or(|u| (0.0..=1.0).contains(&u)));
         }
         let part = uri::encode(&text);
--- a/src/edge/load.rs
+++ b/src/edge/load.rs
@@ -9,27 +9,27 @@
 pub const HEADER: &str = "endpoint-load-metrics";
 
 /// Reads a report; what is not known, no number or negative is skipped.
-pub fn report(text: &str) -> Load {
+pub fn parse_report(text: &str) -> Load {
     let mut load = Load::default();
     if let Some(pairs) = text.strip_prefix("TEXT ") {
         for (name, value) in pairs.split(',').filter_map(|pair| pair.split_once('=')) {
-            set(&mut load, name.trim(), value.trim().parse().ok());
+            set_metric(&mut load, name.trim(), value.trim().parse().ok());
         }
     } else if let Some(json) = text.strip_prefix("JSON ") {
         let value: Value = serde_json::from_str(json).unwrap_or_default();
         for (name, value) in value.as_object().into_iter().flatten() {
             match value {
                 Value::Object(inner) => {
-                    inner.iter().for_each(|(n, v)| set(&mut load, &format!("{name}.{n}"), v.as_f64()));
+                    inner.iter().for_each(|(n, v)| set_metric(&mut load, &format!("{name}.{n}"), v.as_f64()));
                 }
-                value => set(&mut load, name, value.as_f64()),
+                value => set_metric(&mut load, name, value.as_f64()),
             }
         }
     }
     load
 }
 
-fn set(load: &mut Load, name: &str, value: Option<f64>) {
+fn set_metric(load: &mut Load, name: &str, value: Option<f64>) {
     let Some(value) = value.filter(|v| v.is_finite() && *v >= 0.0) else { return };
     match name {
         // How busy it is by its own measure; as the module counts it, 1 at most.
@@ -53,8 +53,8 @@
         let text =
             "TEXT application_utilization=0.7,eps=0.5,rps_fractional=12,named_metrics.link=1.2,x=3,cpu=no";
         let json = r#"JSON {"application_utilization":0.7,"eps":0.5,"rps_fractional":12,"named_metrics":{"link":1.2}}"#;
-        let told = report(text);
-        assert_eq!(told, report(json));
+        let told = parse_report(text);
+        assert_eq!(told, parse_report(json));
         assert_eq!(
             (told.util, told.fail_rate, told.rate, told.link),
             (Some(0.7), Some(0.5), Some(12.0), Some(1.2))
@@ -65,8 +65,8 @@
     #[test]
     fn what_can_not_be_read_tells_nothing() {
         for text in ["", "BIN abc", "TEXT eps=-1", "TEXT eps=inf,=,a", "JSON {", "JSON [1]", "text eps=1"] {
-            assert_eq!(report(text), Load::default(), "{text}");
+            assert_eq!(parse_report(text), Load::default(), "{text}");
         }
-        assert_eq!(report("TEXT application_utilization=7").util, Some(1.0));
+        assert_eq!(parse_report("TEXT application_utilization=7").util, Some(1.0));
     }
 }
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -615,7 +615,7 @@
             retry_after: response.header("retry-after").is_some(),
             complete: described && resource.is_some(),
         };
-        let report = response.header(load::HEADER).map(load::report).unwrap_or_default();
+        let report = response.header(load::HEADER).map(load::parse_report).unwrap_or_default();
         let stands = proof(outcome);
         match (stands, resource) {
             (Proof::Stands, Some(path)) if given_up.is_none() => {
