--- a/src/edge/news.rs
+++ b/src/edge/news.rs
@@ -21,20 +21,20 @@
 }
 
 /// Takes bytes of a stream in; gives what was told. An error, or a status other than 200, ends it.
-pub fn feed(stream: &mut sse::Stream, bytes: &[u8]) -> Result<Vec<EdgeEvent>, HttpError> {
+pub fn read_events(stream: &mut sse::Stream, bytes: &[u8]) -> Result<Vec<EdgeEvent>, HttpError> {
     let mut events = Vec::new();
     stream.feed(bytes, &mut events)?;
-    Ok(events.iter().flat_map(|event| read(&event.data)).collect())
+    Ok(events.iter().flat_map(|event| parse_data(&event.data)).collect())
 }
 
 /// Reads the data of one event; what is not known, or out of its range, is skipped.
-fn read(data: &str) -> Vec<EdgeEvent> {
+fn parse_data(data: &str) -> Vec<EdgeEvent> {
     let value: Value = serde_json::from_str(data).unwrap_or_default();
-    let figure = |key: &str| value.get(key).and_then(Value::as_f64).filter(|x| x.is_finite() && *x >= 0.0);
+    let number = |key: &str| value.get(key).and_then(Value::as_f64).filter(|x| x.is_finite() && *x >= 0.0);
     let notes = [
-        figure("link").map(Note::Link),
-        figure("uplink").map(Note::Uplink),
-        figure("delivered").filter(|share| *share <= 1.0).map(Note::Delivered),
+        number("link").map(Note::Link),
+        number("uplink").map(Note::Uplink),
+        number("delivered").filter(|share| *share <= 1.0).map(Note::Delivered),
     ];
     let ended = value.get("ended").and_then(Value::as_str).map(|path| EdgeEvent::Ended(path.to_owned()));
     notes.into_iter().flatten().map(EdgeEvent::Note).chain(ended).collect()
@@ -49,14 +49,14 @@
         let text = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\ndata: {\"link\":1.2,\"delivered\":0.9}\n\n\
             data: {\"delivered\":7,\"uplink\":-1,\"ended\":\"/made/1\"}\n\ndata: no\n\n";
         for size in [1, 3, 1000] {
-            let (mut stream, mut told) = (sse::Stream::default(), Vec::new());
+            let (mut stream, mut received) = (sse::Stream::default(), Vec::new());
             for piece in text.as_bytes().chunks(size) {
-                told.extend(feed(&mut stream, piece).unwrap());
+                received.extend(read_events(&mut stream, piece).unwrap());
             }
             let load = [EdgeEvent::Note(Note::Link(1.2)), EdgeEvent::Note(Note::Delivered(0.9))];
-            assert_eq!(told, [load.as_slice(), &[EdgeEvent::Ended("/made/1".into())]].concat());
+            assert_eq!(received, [load.as_slice(), &[EdgeEvent::Ended("/made/1".into())]].concat());
         }
         let refused = b"HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n";
-        assert!(feed(&mut sse::Stream::default(), refused).is_err());
+        assert!(read_events(&mut sse::Stream::default(), refused).is_err());
     }
 }
--- a/src/edge/proof.rs
+++ b/src/edge/proof.rs
@@ -26,20 +26,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Proof {
     /// The session stands.
-    Stands,
+    Established,
     /// It ended so; [`Status::never_ran`] tells whether that is proved.
-    Over(Status),
+    Ended(Status),
 }
 
 /// Reads an outcome. What is not known to prove that nothing ran does not.
-pub fn proof(outcome: Outcome) -> Proof {
+pub fn classify(outcome: Outcome) -> Proof {
     let (code, retry_after, complete) = match outcome {
-        Outcome::Unsent => return Proof::Over(Status::ConnectFailed),
-        Outcome::Broken => return Proof::Over(Status::Reset),
+        Outcome::Unsent => return Proof::Ended(Status::ConnectFailed),
+        Outcome::Broken => return Proof::Ended(Status::Reset),
         Outcome::Answer { code, retry_after, complete } => (code, retry_after, complete),
     };
-    Proof::Over(match code {
-        201 if complete => return Proof::Stands,
+    Proof::Ended(match code {
+        201 if complete => return Proof::Established,
         // RFC 9725, 4.1 and 4.5: a server that can't take the session says so, and when to come again. 429 is
         // RFC 6585's word for the same.
         429 => Status::Saturated,
@@ -64,7 +64,7 @@
     use super::*;
 
     fn answered(code: u16, retry_after: bool, complete: bool) -> Proof {
-        proof(Outcome::Answer { code, retry_after, complete })
+        classify(Outcome::Answer { code, retry_after, complete })
     }
 
     /// Guards against a paid session that is set up twice: every code is looked at, and what is not on the list of
@@ -74,8 +74,8 @@
         for code in 100..=999u16 {
             for retry_after in [false, true] {
                 let proved = match answered(code, retry_after, false) {
-                    Proof::Stands => panic!("{code} without a session stands"),
-                    Proof::Over(status) => status.never_ran(),
+                    Proof::Established => panic!("{code} without a session stands"),
+                    Proof::Ended(status) => status.never_ran(),
                 };
                 let listed = match code {
                     409 => false,
@@ -86,21 +86,21 @@
                 assert_eq!(proved, listed, "{code}, Retry-After {retry_after}");
             }
         }
-        assert_eq!(proof(Outcome::Unsent), Proof::Over(Status::ConnectFailed));
-        assert_eq!(proof(Outcome::Broken), Proof::Over(Status::Reset));
+        assert_eq!(classify(Outcome::Unsent), Proof::Ended(Status::ConnectFailed));
+        assert_eq!(classify(Outcome::Broken), Proof::Ended(Status::Reset));
     }
 
     #[test]
     fn only_a_whole_201_stands() {
-        assert_eq!(answered(201, false, true), Proof::Stands);
-        assert_eq!(answered(201, false, false), Proof::Over(Status::Errored));
-        assert_eq!(answered(200, false, true), Proof::Over(Status::Errored));
+        assert_eq!(answered(201, false, true), Proof::Established);
+        assert_eq!(answered(201, false, false), Proof::Ended(Status::Errored));
+        assert_eq!(answered(200, false, true), Proof::Ended(Status::Errored));
     }
 
     #[test]
     fn a_full_server_is_told_from_one_that_can_not_serve_this() {
-        assert_eq!(answered(503, true, false), Proof::Over(Status::Saturated));
-        assert_eq!(answered(429, false, false), Proof::Over(Status::Saturated));
-        assert_eq!(answered(404, false, false), Proof::Over(Status::Moot));
+        assert_eq!(answered(503, true, false), Proof::Ended(Status::Saturated));
+        assert_eq!(answered(429, false, false), Proof::Ended(Status::Saturated));
+        assert_eq!(answered(404, false, false), Proof::Ended(Status::Moot));
     }
 }
--- a/src/edge/tests.rs
+++ b/src/edge/tests.rs
@@ -13,15 +13,15 @@
 }
 
 /// A pool before one server.
-struct World {
+struct Fixture {
     pool: Pool,
     now: Micros,
     out: Vec<Command>,
-    told: Vec<PoolEvent>,
+    events: Vec<PoolEvent>,
 }
 
-impl World {
-    fn new(end: Option<&str>) -> World {
+impl Fixture {
+    fn new(end: Option<&str>) -> Fixture {
         let mut pool = Pool::default();
         let paths = Paths {
             set_up: "/whep/{title}?rung={rung}".into(),
@@ -29,7 +29,7 @@
             events: Some("/events".into()),
         };
         pool.listed(&ServerId::new(A), address(), &paths, ServerState::Ready, &mut Vec::new());
-        World { pool, now: T, out: Vec::new(), told: Vec::new() }
+        Fixture { pool, now: T, out: Vec::new(), events: Vec::new() }
     }
 
     fn set_up(&mut self, id: u64) -> Result<(), Status> {
@@ -58,12 +58,12 @@
         self.pool.opened(self.now, conn, &mut self.out);
     }
 
-    fn hear(&mut self, conn: ConnId, text: &str) {
-        self.pool.bytes(self.now, conn, text.as_bytes(), &mut self.told, &mut self.out);
+    fn receive(&mut self, conn: ConnId, text: &str) {
+        self.pool.bytes(self.now, conn, text.as_bytes(), &mut self.events, &mut self.out);
     }
 
     fn closed(&mut self, conn: ConnId, how: &ConnectionEnd) {
-        self.pool.closed(self.now, conn, how, &mut self.told, &mut self.out);
+        self.pool.closed(self.now, conn, how, &mut self.events, &mut self.out);
     }
 
     /// What was written since the last call.
@@ -78,7 +78,7 @@
     }
 
     /// Lets time pass; gives the first lines of what was written.
-    fn pass(&mut self, ms: u64) -> Vec<String> {
+    fn advance_to(&mut self, ms: u64) -> Vec<String> {
         let end = after(ms);
         while let Some(due) = self.pool.next_due().filter(|due| *due <= end) {
             self.now = self.now.max(due);
@@ -93,189 +93,190 @@
     }
 
     /// A session that stands, and its connection.
-    fn standing(&mut self, id: u64, more: &str) -> ConnId {
+    fn establish(&mut self, id: u64, more: &str) -> ConnId {
         self.set_up(id).unwrap();
         let conn = self.dials()[0];
         self.open(conn);
         let asked = self.written();
         assert!(asked[0].starts_with("POST /whep/blue%20sofa?rung=2 HTTP/1.1\r\n"), "{asked:?}");
-        self.hear(conn, &made("/made/1", more));
+        self.receive(conn, &created("/made/1", more));
         assert!(
-            matches!(self.told.first(), Some(PoolEvent::Answer(of, ..)) if of.0 == id),
+            matches!(self.events.first(), Some(PoolEvent::Answer(of, ..)) if of.0 == id),
             "{:?}",
-            self.told
+            self.events
         );
         conn
     }
 }
 
-fn made(place: &str, more: &str) -> String {
+fn created(place: &str, more: &str) -> String {
     let head = "HTTP/1.1 201 Created\r\nContent-Type: application/sdp\r\nContent-Length: 5\r\n";
     format!("{head}Location: {place}\r\n{more}\r\nv=0\r\n")
 }
 
-const GONE: ConnectionEnd = ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: true };
+const CONNECTION_RESET: ConnectionEnd =
+    ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: true };
 
 #[test]
 fn a_session_is_ended_where_it_was_made_and_told_of_its_load() {
-    let mut world = World::new(None);
-    let conn = world
-        .standing(1, "endpoint-load-metrics: TEXT application_utilization=0.5,named_metrics.uplink=0.2\r\n");
-    let notes: Vec<Note> = world
-        .told
+    let mut fixture = Fixture::new(None);
+    let conn = fixture
+        .establish(1, "endpoint-load-metrics: TEXT application_utilization=0.5,named_metrics.uplink=0.2\r\n");
+    let notes: Vec<Note> = fixture
+        .events
         .iter()
         .filter_map(|t| if let PoolEvent::Note(_, _, n) = t { Some(*n) } else { None })
         .collect();
     assert_eq!(notes, [Note::Link(0.5), Note::Uplink(0.2)]);
-    world.pool.release(world.now, SessionId(1), &mut world.out);
-    assert!(world.written()[0].starts_with("DELETE /made/1 HTTP/1.1\r\n"));
-    assert_eq!(world.pool.pending_ends(), 1);
-    world.hear(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    assert_eq!((world.pool.pending_ends(), world.pool.holds(SessionId(1))), (0, false));
+    fixture.pool.release(fixture.now, SessionId(1), &mut fixture.out);
+    assert!(fixture.written()[0].starts_with("DELETE /made/1 HTTP/1.1\r\n"));
+    assert_eq!(fixture.pool.pending_ends(), 1);
+    fixture.receive(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+    assert_eq!((fixture.pool.pending_ends(), fixture.pool.holds(SessionId(1))), (0, false));
 }
 
 #[test]
 fn an_end_is_repeated_on_new_connections_within_bounds() {
-    let mut world = World::new(None);
-    let conn = world.standing(1, "");
-    world.pool.release(world.now, SessionId(1), &mut world.out);
-    world.written();
-    world.closed(conn, &GONE);
+    let mut fixture = Fixture::new(None);
+    let conn = fixture.establish(1, "");
+    fixture.pool.release(fixture.now, SessionId(1), &mut fixture.out);
+    fixture.written();
+    fixture.closed(conn, &CONNECTION_RESET);
     let mut tries = 1;
     for _ in 0..40 {
-        let again = world.pass((world.now - T).0 / 1000 + 10_000);
+        let again = fixture.advance_to((fixture.now - T).0 / 1000 + 10_000);
         tries += again.iter().filter(|line| line.starts_with("DELETE /made/1")).count();
-        for conn in world.pool.conns.keys().copied().collect::<Vec<_>>() {
-            world.closed(conn, &GONE);
+        for conn in fixture.pool.conns.keys().copied().collect::<Vec<_>>() {
+            fixture.closed(conn, &CONNECTION_RESET);
         }
     }
-    assert_eq!((tries, world.pool.pending_ends()), (MOST_TRIES as usize, 0));
+    assert_eq!((tries, fixture.pool.pending_ends()), (MAX_END_ATTEMPTS as usize, 0));
     assert!(
-        world.told.iter().any(|t| matches!(t, PoolEvent::Log(line) if line.starts_with("end not heard")))
+        fixture.events.iter().any(|t| matches!(t, PoolEvent::Log(line) if line.starts_with("end not heard")))
     );
 }
 
 /// The server may make the session after it was first asked to end it.
 #[test]
 fn a_session_whose_answer_was_lost_must_be_found_missing_more_than_once() {
-    let mut world = World::new(Some("/by-name/{session}"));
-    world.set_up(0xab).unwrap();
-    let conn = world.dials()[0];
-    world.open(conn);
-    world.written();
-    world.closed(conn, &GONE);
+    let mut fixture = Fixture::new(Some("/by-name/{session}"));
+    fixture.set_up(0xab).unwrap();
+    let conn = fixture.dials()[0];
+    fixture.open(conn);
+    fixture.written();
+    fixture.closed(conn, &CONNECTION_RESET);
     assert_eq!(
-        world.told,
+        fixture.events,
         [PoolEvent::Ended(SessionId(0xab), ServerId::new(A), Status::Reset, Load::default())]
     );
     let mut tries = 0;
     for n in 1..200 {
-        for conn in world.dials() {
-            world.open(conn);
+        for conn in fixture.dials() {
+            fixture.open(conn);
         }
-        let asked = world.pass(n * 100);
-        let first = world.written();
+        let asked = fixture.advance_to(n * 100);
+        let first = fixture.written();
         for line in asked.iter().chain(&first) {
             assert!(line.starts_with("DELETE /by-name/00000000000000ab"), "{line}");
             tries += 1;
             let conn =
-                world.pool.conns.iter().find(|(_, c)| c.exchange.is_some()).map(|(id, _)| *id).unwrap();
-            world.hear(conn, "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n");
+                fixture.pool.conns.iter().find(|(_, c)| c.exchange.is_some()).map(|(id, _)| *id).unwrap();
+            fixture.receive(conn, "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n");
         }
     }
-    assert_eq!((tries, world.pool.pending_ends()), (UNSURE_TRIES, 0));
+    assert_eq!((tries, fixture.pool.pending_ends()), (MIN_UNCONFIRMED_END_ATTEMPTS, 0));
 }
 
 #[test]
 fn connections_and_those_that_wait_are_bounded_and_nothing_that_waits_has_run() {
-    let mut world = World::new(None);
-    let most = MOST_CONNS + MOST_WAITING;
+    let mut fixture = Fixture::new(None);
+    let most = MAX_CONNECTIONS_PER_SERVER + MAX_WAITING_EXCHANGES;
     for id in 1..=most as u64 {
-        assert_eq!(world.set_up(id), Ok(()));
+        assert_eq!(fixture.set_up(id), Ok(()));
     }
-    assert_eq!(world.set_up(0), Err(Status::Moot));
-    let dials = world.dials();
-    assert_eq!(dials.len(), MOST_CONNS);
-    assert!((1..=most as u64).all(|id| world.pool.waits(SessionId(id))), "not a byte is written");
+    assert_eq!(fixture.set_up(0), Err(Status::Moot));
+    let dials = fixture.dials();
+    assert_eq!(dials.len(), MAX_CONNECTIONS_PER_SERVER);
+    assert!((1..=most as u64).all(|id| fixture.pool.waits(SessionId(id))), "not a byte is written");
     // One that is given up while it waits never leaves.
-    let waiting = MOST_CONNS as u64 + 1;
-    world.pool.give_up(world.now, SessionId(waiting), &mut world.out);
-    world.open(dials[0]);
-    assert!(!world.pool.waits(SessionId(1)));
-    world.hear(dials[0], &made("/made/1", ""));
-    assert!(!world.pool.waits(SessionId(waiting + 1)), "the next one has the connection");
+    let waiting = MAX_CONNECTIONS_PER_SERVER as u64 + 1;
+    fixture.pool.give_up(fixture.now, SessionId(waiting), &mut fixture.out);
+    fixture.open(dials[0]);
+    assert!(!fixture.pool.waits(SessionId(1)));
+    fixture.receive(dials[0], &created("/made/1", ""));
+    assert!(!fixture.pool.waits(SessionId(waiting + 1)), "the next one has the connection");
     // The server turns one down: all that wait for a connection are told, with proof.
-    world.told.clear();
-    world.closed(dials[1], &ConnectionEnd::Refused);
-    let over = |t: &&PoolEvent| matches!(t, PoolEvent::Ended(_, _, Status::ConnectFailed, _));
-    assert_eq!(world.told.iter().filter(over).count(), 1 + MOST_WAITING - 2);
-    assert!(world.told.contains(&PoolEvent::Refused(ServerId::new(A))));
+    fixture.events.clear();
+    fixture.closed(dials[1], &ConnectionEnd::Refused);
+    let ended = |t: &&PoolEvent| matches!(t, PoolEvent::Ended(_, _, Status::ConnectFailed, _));
+    assert_eq!(fixture.events.iter().filter(ended).count(), 1 + MAX_WAITING_EXCHANGES - 2);
+    assert!(fixture.events.contains(&PoolEvent::Refused(ServerId::new(A))));
 }
 
 #[test]
 fn a_late_answer_is_ended_and_one_that_never_comes_let_go() {
-    let mut world = World::new(None);
-    world.set_up(1).unwrap();
-    let conn = world.dials()[0];
-    world.open(conn);
-    world.pool.give_up(world.now, SessionId(1), &mut world.out);
-    world.written();
-    world.hear(conn, &made("made/1", ""));
-    assert!(world.told.is_empty(), "nobody waits for it");
-    assert!(world.written()[0].starts_with("DELETE /whep/made/1 "), "relative to what was asked");
-    world.set_up(2).unwrap();
-    let conn = world.dials()[0];
-    world.open(conn);
-    world.pool.give_up(world.now, SessionId(2), &mut world.out);
-    world.written();
-    world.pass(29_000);
-    assert!(world.pool.has(conn));
-    world.pass(31_000);
-    assert!(world.out.contains(&Command::Abort(conn, "no-answer")));
+    let mut fixture = Fixture::new(None);
+    fixture.set_up(1).unwrap();
+    let conn = fixture.dials()[0];
+    fixture.open(conn);
+    fixture.pool.give_up(fixture.now, SessionId(1), &mut fixture.out);
+    fixture.written();
+    fixture.receive(conn, &created("made/1", ""));
+    assert!(fixture.events.is_empty(), "nobody waits for it");
+    assert!(fixture.written()[0].starts_with("DELETE /whep/made/1 "), "relative to what was asked");
+    fixture.set_up(2).unwrap();
+    let conn = fixture.dials()[0];
+    fixture.open(conn);
+    fixture.pool.give_up(fixture.now, SessionId(2), &mut fixture.out);
+    fixture.written();
+    fixture.advance_to(29_000);
+    assert!(fixture.pool.has(conn));
+    fixture.advance_to(31_000);
+    assert!(fixture.out.contains(&Command::Abort(conn, "no-answer")));
 }
 
 /// The same name at another address is another server: what was asked of the old one does not count for it.
 #[test]
 fn a_set_up_at_an_address_that_the_server_has_left_is_cut_and_proves_nothing() {
-    let mut world = World::new(None);
-    world.set_up(1).unwrap();
-    let conn = world.dials()[0];
-    world.open(conn);
+    let mut fixture = Fixture::new(None);
+    fixture.set_up(1).unwrap();
+    let conn = fixture.dials()[0];
+    fixture.open(conn);
     let paths = Paths { set_up: "/whep/{title}".into(), end: None, events: None };
     let elsewhere = ([127, 0, 0, 1], 81).into();
-    assert!(world.pool.listed(&ServerId::new(A), elsewhere, &paths, ServerState::Ready, &mut world.out));
-    assert!(world.out.contains(&Command::Abort(conn, "moved")));
-    world.hear(conn, &made("/made/1", ""));
-    assert!(world.told.is_empty());
-    world.closed(conn, &GONE);
+    assert!(fixture.pool.listed(&ServerId::new(A), elsewhere, &paths, ServerState::Ready, &mut fixture.out));
+    assert!(fixture.out.contains(&Command::Abort(conn, "moved")));
+    fixture.receive(conn, &created("/made/1", ""));
+    assert!(fixture.events.is_empty());
+    fixture.closed(conn, &CONNECTION_RESET);
     assert_eq!(
-        world.told,
+        fixture.events,
         [PoolEvent::Ended(SessionId(1), ServerId::new(A), Status::Reset, Load::default())]
     );
 }
 
 #[test]
 fn an_idle_connection_carries_nothing_that_its_close_could_cross() {
-    let mut world = World::new(None);
-    let conn = world.standing(1, "");
-    world.set_up(2).unwrap();
-    assert!(world.dials().is_empty(), "it is used again while it is fresh");
-    world.hear(conn, &made("/made/2", ""));
-    world.now = after(FRESH.0 / 1000);
-    world.set_up(3).unwrap();
-    assert_eq!(world.dials().len(), 1, "a new one");
-    world.pool.tick(world.now, &mut world.out);
-    assert!(world.out.contains(&Command::Close(conn, "idle")));
+    let mut fixture = Fixture::new(None);
+    let conn = fixture.establish(1, "");
+    fixture.set_up(2).unwrap();
+    assert!(fixture.dials().is_empty(), "it is used again while it is fresh");
+    fixture.receive(conn, &created("/made/2", ""));
+    fixture.now = after(MAX_IDLE.0 / 1000);
+    fixture.set_up(3).unwrap();
+    assert_eq!(fixture.dials().len(), 1, "a new one");
+    fixture.pool.tick(fixture.now, &mut fixture.out);
+    assert!(fixture.out.contains(&Command::Close(conn, "idle")));
 }
 
 #[test]
 fn a_layer_is_chosen_where_the_server_has_a_place_for_it() {
-    let mut world = World::new(None);
+    let mut fixture = Fixture::new(None);
     let layer = "Link: <http://media.example/made/1/layer>; rel=\"urn:ietf:params:whep:ext:core:layer\", <stun:a,b>; rel=ice-server\r\n";
-    world.standing(1, layer);
-    assert_eq!(world.pool.ice_links(SessionId(1)), ["<stun:a,b>; rel=ice-server"]);
-    world.pool.change_rung(world.now, SessionId(1), Rung(3), &mut world.out);
-    let asked = world.written();
+    fixture.establish(1, layer);
+    assert_eq!(fixture.pool.ice_links(SessionId(1)), ["<stun:a,b>; rel=ice-server"]);
+    fixture.pool.change_rung(fixture.now, SessionId(1), Rung(3), &mut fixture.out);
+    let asked = fixture.written();
     assert!(
         asked[0].starts_with("POST /made/1/layer ") && asked[0].ends_with("{\"encodingId\":\"3\"}"),
         "{asked:?}"
@@ -305,42 +306,42 @@
     };
     let piece = prop_oneof![
         proptest::collection::vec(any::<u8>(), 0..40),
-        Just(made("/made/1", "").into_bytes()),
+        Just(created("/made/1", "").into_bytes()),
         Just(b"HTTP/1.1 503 x\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n".to_vec()),
         Just(b"HTTP/1.1 100 Continue\r\n\r\n".to_vec()),
     ];
     proptest!(config, |(pieces in proptest::collection::vec(piece, 1..8))| {
-        let mut world = World::new(None);
-        world.set_up(1).unwrap();
-        let conn = world.dials()[0];
-        world.open(conn);
+        let mut fixture = Fixture::new(None);
+        fixture.set_up(1).unwrap();
+        let conn = fixture.dials()[0];
+        fixture.open(conn);
         for piece in pieces {
-            world.pool.bytes(world.now, conn, &piece, &mut world.told, &mut world.out);
+            fixture.pool.bytes(fixture.now, conn, &piece, &mut fixture.events, &mut fixture.out);
         }
-        world.closed(conn, &GONE);
+        fixture.closed(conn, &CONNECTION_RESET);
         let settled = |t: &&PoolEvent| matches!(t, PoolEvent::Answer(..) | PoolEvent::Ended(..));
-        prop_assert_eq!(world.told.iter().filter(settled).count(), 1, "{:?}", world.told);
+        prop_assert_eq!(fixture.events.iter().filter(settled).count(), 1, "{:?}", fixture.events);
     });
 }
 
 #[test]
 fn a_server_is_listened_to_while_sessions_stand_there() {
-    let mut world = World::new(None);
-    world.pool.tick(world.now, &mut world.out);
-    assert!(world.dials().is_empty(), "nothing stands there");
-    world.standing(1, "");
-    world.told.clear();
-    world.pool.tick(world.now, &mut world.out);
-    assert!(world.written()[0].starts_with("GET /events HTTP/1.1\r\n"));
-    let conn = world.pool.conns.iter().find(|(_, c)| c.exchange.is_some()).map(|(id, _)| *id).unwrap();
-    world.hear(conn, "HTTP/1.1 200 OK\r\n\r\ndata: {\"link\":0.8}\n\n");
-    assert_eq!(world.told, [PoolEvent::Note(SessionId(1), ServerId::new(A), Note::Link(0.8))]);
-    world.hear(conn, "data: {\"ended\":\"/made/1\"}\n\ndata: {\"ended\":\"/made/1\"}\n\n");
-    let over = PoolEvent::Ended(SessionId(1), ServerId::new(A), Status::Completed, Load::default());
-    assert_eq!(world.told[1..], [over], "once");
-    assert!(!world.pool.holds(SessionId(1)));
-    world.pass(29_000);
-    assert!(!world.out.contains(&Command::Abort(conn, "no-answer")));
-    world.pass(31_000);
-    assert!(world.out.contains(&Command::Abort(conn, "no-answer")), "it has been silent for too long");
+    let mut fixture = Fixture::new(None);
+    fixture.pool.tick(fixture.now, &mut fixture.out);
+    assert!(fixture.dials().is_empty(), "nothing stands there");
+    fixture.establish(1, "");
+    fixture.events.clear();
+    fixture.pool.tick(fixture.now, &mut fixture.out);
+    assert!(fixture.written()[0].starts_with("GET /events HTTP/1.1\r\n"));
+    let conn = fixture.pool.conns.iter().find(|(_, c)| c.exchange.is_some()).map(|(id, _)| *id).unwrap();
+    fixture.receive(conn, "HTTP/1.1 200 OK\r\n\r\ndata: {\"link\":0.8}\n\n");
+    assert_eq!(fixture.events, [PoolEvent::Note(SessionId(1), ServerId::new(A), Note::Link(0.8))]);
+    fixture.receive(conn, "data: {\"ended\":\"/made/1\"}\n\ndata: {\"ended\":\"/made/1\"}\n\n");
+    let ended = PoolEvent::Ended(SessionId(1), ServerId::new(A), Status::Completed, Load::default());
+    assert_eq!(fixture.events[1..], [ended], "once");
+    assert!(!fixture.pool.holds(SessionId(1)));
+    fixture.advance_to(29_000);
+    assert!(!fixture.out.contains(&Command::Abort(conn, "no-answer")));
+    fixture.advance_to(31_000);
+    assert!(fixture.out.contains(&Command::Abort(conn, "no-answer")), "it has been silent for too long");
 }
