--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -1,9 +1,10 @@
-//! Edge servers that speak WHIP or WHEP: attempts go out as POSTs, sessions end by DELETE on what `Location` named.
-//! A state machine of bytes; the driver opens the connections that it asks for and keeps the time.
+//! HTTP client for edge servers that speak WHIP or WHEP. An attempt is sent as a POST; a session is ended by a DELETE
+//! on the resource that the `Location` header named. This is a state machine over bytes that does no I/O: the driver
+//! opens the connections that it requests and supplies the time.
 //!
-//! Each connection carries one exchange at a time. An attempt that is given up can't be called back over HTTP: its
-//! connection is read on, and a session that it still makes is ended at once. Ends are repeated until they are heard,
-//! on new connections too, within bounds.
+//! Each connection carries one exchange at a time. HTTP can't cancel an attempt that has been sent, so its connection
+//! is still read after the attempt is given up, and a session that it creates after all is ended at once. A DELETE is
+//! repeated until the server confirms it, also on new connections, up to a limit.
 
 pub mod load;
 pub mod news;
@@ -22,87 +23,89 @@
 use news::EdgeEvent;
 use proof::{Outcome, Proof, classify};
 
-/// Numbers of these connections lie above those of all others.
+/// The connection numbers of this pool lie above those of all other connections.
 const FIRST_CONN: u64 = 1 << 63;
-/// Connections to one server: each set-up that waits for its answer takes one.
+/// The most connections to one server. Each set-up that waits for its answer occupies one.
 const MAX_CONNECTIONS_PER_SERVER: usize = 32;
-/// Exchanges that wait for a connection to one server; what comes beyond that is turned away, nothing has run.
+/// The most exchanges that wait for a connection to one server. Further ones are refused before anything was sent.
 const MAX_WAITING_EXCHANGES: usize = 256;
-/// A connection that was idle for longer carries no new exchange: servers commonly close after 5 s, and a close that
-/// crosses a set-up would leave it unproved.
+/// A connection that was idle for this long carries no new exchange. Servers commonly close idle connections after
+/// 5 s, and a close that crosses a set-up on the way would leave it unknown whether the set-up ran.
 const MAX_IDLE: Micros = Micros(3_000_000);
-/// An attempt that was given up is waited for so long; then its connection is cut.
+/// How long the answer to a set-up that was given up is awaited before its connection is aborted.
 const ABANDONED_SET_UP_TIMEOUT: Micros = Micros(30_000_000);
-/// An end, a change of rung or a PATCH that has no answer after so long has failed.
+/// A DELETE, a change of rung or a PATCH without an answer after this time has failed.
 const EXCHANGE_TIMEOUT: Micros = Micros(5_000_000);
-/// An end is told so often at most; the pause between two doubles from the first to the longest.
+/// The most times that a DELETE is sent. The delay between two attempts doubles from the first to the longest delay.
 const MAX_END_ATTEMPTS: u32 = 8;
 const FIRST_END_RETRY_DELAY: Micros = Micros(250_000);
 const MAX_END_RETRY_DELAY: Micros = Micros(8_000_000);
-/// A session whose answer was lost may be made after the first tries: so often it must be found missing.
+/// How many DELETE attempts a session whose set-up answer was lost needs before "not found" ends it: the server may
+/// create the session after the first attempts.
 const MIN_UNCONFIRMED_END_ATTEMPTS: u32 = 4;
-/// A stream of events that says nothing for so long, not even a comment, is asked for anew.
+/// An event stream that carries no bytes for this long, not even a comment, is aborted and requested again.
 const EVENT_STREAM_TIMEOUT: Micros = Micros(30_000_000);
-/// Time between tries to open one.
+/// The time between two requests for the event stream of a server.
 const EVENT_STREAM_RETRY_INTERVAL: Micros = Micros(2_000_000);
-/// Ends that are remembered at most.
+/// The most sessions whose DELETE is pending.
 const MAX_PENDING_ENDS: usize = 4096;
-/// Longest body of an answer: it must fit into one message towards the other front too.
+/// The longest body of an answer. It must also fit into one message of the platform protocol.
 const MAX_BODY_BYTES: usize = 15 * 1024;
-/// `Link` headers of one answer that are passed on, and their length.
+/// The most `Link` headers of one answer that are passed on, and the longest of them.
 const MAX_ICE_LINKS: usize = 8;
 const MAX_LINK_BYTES: usize = 1024;
 
-/// The type of a trickle ICE fragment (RFC 8840).
+/// The media type of a trickle ICE fragment (RFC 8840).
 pub const FRAGMENT: &str = "application/trickle-ice-sdpfrag";
 const LAYER_RELATION: &str = "urn:ietf:params:whep:ext:core:layer";
 
-/// What is heard of a server.
+/// What the pool reports about servers and their sessions.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PoolEvent {
-    /// The session stands there.
+    /// The session is established at the server; carries the SDP answer.
     Answer(SessionId, ServerId, Description),
-    /// The attempt ended.
+    /// The attempt or the session ended with this status and load report.
     Ended(SessionId, ServerId, Status, Load),
-    /// A note on a session that stands.
+    /// A load note for an established session.
     Note(SessionId, ServerId, Note),
-    /// It turned a connection down.
+    /// The server refused a connection.
     Refused(ServerId),
-    /// A client's PATCH is answered; none: the server gave no answer.
+    /// The response to a client's PATCH, or `None` if the server gave none.
     Patched(ConnId, SessionId, Option<Response>),
     /// A line for the log.
     Log(String),
 }
 
-/// A server's place.
+/// The address and the URL paths of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Target {
     address: SocketAddr,
     paths: Paths,
 }
 
-/// A session at a server.
+/// The HTTP resource of an established session.
 #[derive(Clone, Debug)]
 struct Resource {
     server: ServerId,
     address: SocketAddr,
     path: String,
     etag: Option<String>,
-    /// Where a layer is chosen, if the server told.
+    /// The path at which a layer is selected, if the server announced one.
     layer_path: Option<String>,
-    /// `Link` headers that name ICE servers.
+    /// The `Link` header values that name ICE servers.
     ice_links: Vec<String>,
 }
 
-/// A session that is to be ended.
+/// A session whose DELETE the server has not confirmed yet.
 #[derive(Clone, Debug)]
 struct PendingEnd {
     address: SocketAddr,
     path: String,
     attempts: u32,
-    /// No answer told of its place: the server may not have made it yet, so that "not there" is no end.
+    /// Whether no answer named the resource. The server may not have created it yet, so "not found" does not confirm
+    /// the end.
     creation_unconfirmed: bool,
-    /// The next try; none: one is out.
+    /// When the next attempt is due, or `None` while one is under way.
     next_attempt: Option<Micros>,
 }
 
@@ -112,13 +115,13 @@
         id: SessionId,
         server: ServerId,
         path: String,
-        /// Where its session can be ended though no answer told of its place.
+        /// The path at which its session can be ended even if no answer named the resource.
         end_path: Option<String>,
         given_up: Option<Micros>,
     },
     End(SessionId),
     RungChange,
-    /// Its stream of events.
+    /// The event stream of a server.
     Events(ServerId),
     Patch {
         from: ConnId,
@@ -134,7 +137,7 @@
 }
 
 impl Exchange {
-    /// Whether it is a session's set-up.
+    /// Whether this is the set-up of the given session.
     fn is_set_up_of(&self, id: SessionId) -> bool {
         matches!(&self.kind, ExchangeKind::SetUp { id: of, .. } if *of == id)
     }
@@ -151,7 +154,7 @@
     last_used: Micros,
 }
 
-/// All connections to servers of this kind.
+/// All connections to servers that speak WHIP or WHEP, with their sessions.
 #[derive(Debug, Default)]
 pub struct Pool {
     targets: BTreeMap<ServerId, Target>,
@@ -159,12 +162,13 @@
     waiting: BTreeMap<SocketAddr, VecDeque<Exchange>>,
     resources: BTreeMap<SessionId, Resource>,
     ends: BTreeMap<SessionId, PendingEnd>,
-    /// When a server's events are asked for next.
+    /// The earliest time at which the event stream of a server is requested again.
     next_event_request: BTreeMap<ServerId, Micros>,
     last_conn_number: u64,
 }
 
-/// The path of a resource: of an absolute URL too, as it lies on the server that made it; other servers are not asked.
+/// Returns the path of the resource that a `Location` or `Link` names. Of an absolute URL only the path is used: the
+/// resource is always requested from the server that created it, never from another host.
 fn resource_path(location: &str, asked: &str) -> Option<String> {
     let is_valid = |p: &str| p.bytes().all(|b| b.is_ascii_graphic());
     let path = match location.split_once("://") {
@@ -179,7 +183,7 @@
     (!location.is_empty() && path.len() > 1 && is_valid(&path)).then_some(path)
 }
 
-/// Whether a `Link` value has a relation.
+/// Whether a `Link` value has the given relation type.
 fn has_rel(link: &str, rel: &str) -> bool {
     let params = link.split(';').skip(1).filter_map(|p| p.split_once('='));
     let mut rels = params.filter(|(n, _)| n.trim().eq_ignore_ascii_case("rel")).map(|(_, v)| v.trim());
@@ -187,8 +191,8 @@
 }
 
 impl Pool {
-    /// Notes where a server is. Gives whether it was elsewhere before: then it is another one, and set-ups that are
-    /// under way to the old one are cut.
+    /// Records the address and paths of a listed server. Returns whether its address has changed: then it is another
+    /// server, and connections with set-ups under way to the old address are aborted.
     pub fn listed(
         &mut self,
         server: &ServerId,
@@ -217,17 +221,17 @@
         moved
     }
 
-    /// A server has left the list. What is under way there is read to its end.
+    /// Removes a server that has left the list. Exchanges under way there are still read to their end.
     pub fn forget(&mut self, server: &ServerId) {
         self.targets.remove(server);
     }
 
-    /// Whether a server is one of these.
+    /// Whether a server belongs to this pool.
     pub fn knows(&self, server: &ServerId) -> bool {
         self.targets.contains_key(server)
     }
 
-    /// The server that a set-up on a connection is for, if the set-up is still wanted there.
+    /// Returns the server to which a connection carries the set-up of a session, unless the set-up was given up.
     pub fn carries(&self, conn: ConnId, of: SessionId) -> Option<&ServerId> {
         match &self.conns.get(&conn)?.exchange.as_ref()?.kind {
             ExchangeKind::SetUp { id, server, given_up: None, .. } if *id == of => Some(server),
@@ -235,39 +239,39 @@
         }
     }
 
-    /// Whether it is one of these connections.
+    /// Whether a connection belongs to this pool.
     pub fn has(&self, conn: ConnId) -> bool {
         self.conns.contains_key(&conn)
     }
 
-    /// Whether a session stands, or is set up, at a server of this kind.
+    /// Whether a session is established, or being set up, at a server of this pool.
     pub fn holds(&self, id: SessionId) -> bool {
-        let mut out = self.conns.values().filter_map(|c| c.exchange.as_ref());
-        self.resources.contains_key(&id) || out.any(|e| e.is_set_up_of(id)) || self.is_queued(id)
+        let mut exchanges = self.conns.values().filter_map(|c| c.exchange.as_ref());
+        self.resources.contains_key(&id) || exchanges.any(|e| e.is_set_up_of(id)) || self.is_queued(id)
     }
 
-    /// Whether a set-up waits for a connection.
+    /// Whether a set-up is queued for a connection.
     fn is_queued(&self, id: SessionId) -> bool {
         self.waiting.values().flatten().any(|e| e.is_set_up_of(id))
     }
 
-    /// Whether a set-up still waits for its connection, so that it certainly has not run.
+    /// Whether a set-up still waits for its connection to open, so that it certainly has not run.
     pub fn waits(&self, id: SessionId) -> bool {
         let mut unopened = self.conns.values().filter(|c| !c.open).filter_map(|c| c.exchange.as_ref());
         unopened.any(|e| e.is_set_up_of(id)) || self.is_queued(id)
     }
 
-    /// `Link` headers that name ICE servers, of the answer that a session had.
+    /// Returns the `Link` header values that name ICE servers, from the answer to the set-up of a session.
     pub fn ice_links(&self, id: SessionId) -> &[String] {
         self.resources.get(&id).map_or(&[], |r| &r.ice_links)
     }
 
-    /// Ends that are not heard yet.
+    /// Returns the number of sessions whose DELETE is not confirmed yet.
     pub fn pending_ends(&self) -> usize {
         self.ends.len()
     }
 
-    /// What is remembered, at its fullest place.
+    /// Returns the number of entries in the largest table of the pool.
     pub fn tracked_entries(&self) -> usize {
         let waiting = self.waiting.values().map(VecDeque::len).sum();
         [self.targets.len(), self.conns.len(), self.resources.len(), self.ends.len(), waiting]
@@ -276,7 +280,7 @@
             .unwrap_or(0)
     }
 
-    /// Sends a set-up. An error tells how the attempt ended at once: nothing ran.
+    /// Sends a set-up. An error is the status of an attempt that ended at once, without anything having run.
     pub fn set_up(
         &mut self,
         now: Micros,
@@ -304,7 +308,8 @@
         }
     }
 
-    /// Puts an exchange on a connection, or lets it wait for one; false if too many wait.
+    /// Sends an exchange on an idle connection, opens a new one for it, or queues it. Returns false if the queue is
+    /// full.
     fn start_exchange(
         &mut self,
         now: Micros,
@@ -352,7 +357,7 @@
         c.exchange = Some(exchange);
     }
 
-    /// Gives a set-up up. One that still waits never leaves; one that is out is read on.
+    /// Gives up a set-up. One that still waits is never sent; the answer to one that was sent is still read.
     pub fn give_up(&mut self, now: Micros, id: SessionId, out: &mut Vec<Command>) {
         let mine =
             |e: &Exchange| matches!(&e.kind, ExchangeKind::SetUp { id: of, given_up: None, .. } if *of == id);
@@ -371,7 +376,7 @@
         }
     }
 
-    /// Ends a session that stands.
+    /// Ends an established session.
     pub fn release(&mut self, now: Micros, id: SessionId, out: &mut Vec<Command>) {
         if let Some(resource) = self.resources.remove(&id) {
             self.queue_end(now, id, resource.address, resource.path, false, out);
@@ -415,7 +420,7 @@
         }
     }
 
-    /// An end was not heard: it is told again later, unless that was tried often enough.
+    /// Schedules the next attempt of an unconfirmed DELETE, or drops it with a log line after the last attempt.
     fn retry_end(&mut self, now: Micros, id: SessionId, events: &mut Vec<PoolEvent>) {
         let Some(end) = self.ends.get_mut(&id) else { return };
         if end.attempts >= MAX_END_ATTEMPTS {
@@ -430,7 +435,7 @@
         end.next_attempt = Some(now + Micros(delay_us.min(MAX_END_RETRY_DELAY.0)));
     }
 
-    /// Tells a server a session's new rung, where it has a place for that.
+    /// Requests a new rung for a session, if its server announced a path for selecting layers.
     pub fn change_rung(&mut self, now: Micros, id: SessionId, rung: Rung, out: &mut Vec<Command>) {
         let Some(resource) = self.resources.get(&id) else { return };
         let Some(layer) = &resource.layer_path else { return };
@@ -446,7 +451,8 @@
         );
     }
 
-    /// Passes a client's PATCH on. False if the session does not stand at a server of this kind.
+    /// Forwards a client's PATCH. Returns false if the session is not established at a server of this pool, or if the
+    /// queue of the server is full.
     pub fn patch(
         &mut self,
         now: Micros,
@@ -473,7 +479,7 @@
         )
     }
 
-    /// A connection has come up.
+    /// Handles a connection that has opened.
     pub fn opened(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
         let Some(c) = self.conns.get_mut(&conn) else { return };
         (c.open, c.last_used) = (true, now);
@@ -482,7 +488,7 @@
         }
     }
 
-    /// Bytes came.
+    /// Handles bytes received on a connection.
     pub fn bytes(
         &mut self,
         now: Micros,
@@ -506,7 +512,8 @@
         }
         c.responses.feed(bytes);
         if c.exchange.is_none() {
-            // Nothing was asked: what it says has no meaning, and what follows could be taken for an answer.
+            // No request is open: these bytes answer nothing, and later ones could be mistaken for the answer to the
+            // next request.
             c.closing = true;
             return out.push(Command::Close(conn, "unasked"));
         }
@@ -545,7 +552,8 @@
         }
     }
 
-    /// What a server told of itself and of its sessions. A note goes to one session, as on the platform.
+    /// Handles events that a server sent about itself and its sessions. A load note is reported for one session of
+    /// the server only, as in the platform protocol.
     fn handle_edge_events(
         &mut self,
         server: &ServerId,
@@ -569,13 +577,15 @@
         }
     }
 
-    /// Listens to servers where sessions stand and which tell of themselves.
+    /// Requests the event streams of servers that offer one, hold sessions and have no stream open.
     fn request_event_streams(&mut self, now: Micros, out: &mut Vec<Command>) {
         if self.targets.values().all(|t| t.paths.events.is_none()) {
             return;
         }
-        let heard = |e: &Exchange| if let ExchangeKind::Events(s) = &e.kind { Some(s.clone()) } else { None };
-        let open: Vec<ServerId> = self.conns.values().filter_map(|c| heard(c.exchange.as_ref()?)).collect();
+        let stream_server =
+            |e: &Exchange| if let ExchangeKind::Events(s) = &e.kind { Some(s.clone()) } else { None };
+        let open: Vec<ServerId> =
+            self.conns.values().filter_map(|c| stream_server(c.exchange.as_ref()?)).collect();
         let mut servers: Vec<&ServerId> = self.resources.values().map(|r| &r.server).collect();
         servers.sort_unstable();
         servers.dedup();
@@ -599,7 +609,7 @@
         self.next_event_request.retain(|server, _| targets.contains_key(server));
     }
 
-    /// A connection is free, or one more may be opened.
+    /// Starts the next queued exchange when a connection is free or one more may be opened.
     fn start_next_waiting(&mut self, now: Micros, address: SocketAddr, out: &mut Vec<Command>) {
         let Some(waiting) = self.waiting.get_mut(&address) else { return };
         if let Some(next) = waiting.pop_front() {
@@ -689,7 +699,7 @@
                 events.extend(notes.into_iter().flatten().map(|n| PoolEvent::Note(id, server.clone(), n)));
             }
             (result, resource) => {
-                // A session that nobody waits for any more, or that can't be used, must not play on.
+                // A session whose set-up was given up, or whose answer can't be used, must not continue to play.
                 if let Some(path) = resource.filter(|_| (200..300).contains(&response.status)) {
                     self.queue_end(now, id, address, path, false, out);
                 }
@@ -704,8 +714,8 @@
         }
     }
 
-    /// An exchange whose connection ended under it.
-    #[expect(clippy::too_many_arguments, reason = "the parts of one end")]
+    /// Handles an exchange whose connection ended, or sent an unreadable answer, before a whole answer came.
+    #[expect(clippy::too_many_arguments, reason = "the parts of one broken exchange")]
     fn handle_broken_exchange(
         &mut self,
         now: Micros,
@@ -718,8 +728,8 @@
     ) {
         match kind {
             ExchangeKind::SetUp { id, server, path, end_path, given_up } => {
-                // The head of a 201 has told enough to end what it made; else only a server that knows sessions by
-                // the broker's names can be asked.
+                // The head of a 201 names the session it created, which is enough to end it. Without it, the session
+                // can only be ended at a server that identifies sessions by the broker's ids.
                 let place = unfinished.filter(|r| r.status == 201).and_then(|r| r.header("location"));
                 let place = place.and_then(|l| resource_path(l, &path));
                 let creation_unconfirmed = place.is_none();
@@ -745,7 +755,7 @@
         }
     }
 
-    /// A connection has ended.
+    /// Handles a connection that has ended or could not be opened.
     pub fn closed(
         &mut self,
         now: Micros,
@@ -776,7 +786,7 @@
             );
         }
         if not_connected {
-            // Those that wait for a connection would be turned down one after the other.
+            // The queued exchanges would be refused too, one after the other.
             let waiting = self.waiting.remove(&c.address).unwrap_or_default();
             for exchange in waiting {
                 self.handle_broken_exchange(now, c.address, exchange.kind, None, true, events, out);
@@ -790,14 +800,14 @@
         }
     }
 
-    /// When [`Pool::tick`] is wanted next.
+    /// Returns when [`Pool::tick`] is due next.
     pub fn next_due(&self) -> Option<Micros> {
         let ends = self.ends.values().filter_map(|e| e.next_attempt);
         let conns = self.conns.values().filter(|c| !c.closing).filter_map(|c| self.connection_due(c));
         ends.chain(conns).min()
     }
 
-    /// When a connection is to be let go, if nothing happens on it.
+    /// Returns when a connection is to be closed or aborted if nothing happens on it.
     fn connection_due(&self, c: &Connection) -> Option<Micros> {
         match &c.exchange {
             None => Some(c.last_used + MAX_IDLE),
@@ -809,7 +819,7 @@
         }
     }
 
-    /// Time has passed.
+    /// Closes connections that are due, sends the DELETE requests that are due and requests event streams.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Command>) {
         let due: Vec<ConnId> = self
             .conns
@@ -829,7 +839,8 @@
         self.request_event_streams(now, out);
     }
 
-    /// A server is lost with what stood there. Where it may only have started anew, what it still holds is ended.
+    /// Removes the sessions of a lost server. With `may_hold`, the server may still hold sessions after a restart, so
+    /// they are ended there.
     pub fn server_lost(&mut self, now: Micros, server: &ServerId, may_hold: bool, out: &mut Vec<Command>) {
         let at_server = self.resources.iter().filter(|(_, r)| r.server == *server);
         let ids: Vec<SessionId> = at_server.map(|(id, _)| *id).collect();
