--- a/src/edge/load.rs
+++ b/src/edge/load.rs
@@ -1,14 +1,14 @@
-//! Load reports of media servers: the header `endpoint-load-metrics` in the two forms of text that ORCA (Open
-//! Request Cost Aggregation) gives it, `TEXT name=value,…` and `JSON {…}`.
+//! Reader for the load reports of media servers: the header `endpoint-load-metrics` in the two text formats that ORCA
+//! (Open Request Cost Aggregation) defines, `TEXT name=value,…` and `JSON {…}`.
 
 use serde_json::Value;
 
 use crate::api::Load;
 
-/// The header's name.
+/// The name of the header that carries a load report.
 pub const HEADER: &str = "endpoint-load-metrics";
 
-/// Reads a report; what is not known, no number or negative is skipped.
+/// Parses a load report. Unknown metrics and values that are not finite, non-negative numbers are skipped.
 pub fn parse_report(text: &str) -> Load {
     let mut load = Load::default();
     if let Some(pairs) = text.strip_prefix("TEXT ") {
@@ -32,7 +32,7 @@
 fn set_metric(load: &mut Load, name: &str, value: Option<f64>) {
     let Some(value) = value.filter(|v| v.is_finite() && *v >= 0.0) else { return };
     match name {
-        // How busy it is by its own measure; as the module counts it, 1 at most.
+        // The utilization by the server's own measure. The decision module expects at most 1.
         "application_utilization" => load.util = Some(value.min(1.0)),
         "rps_fractional" => load.rate = Some(value),
         "eps" => load.fail_rate = Some(value),
@@ -49,21 +49,21 @@
     use super::*;
 
     #[test]
-    fn both_forms_tell_the_same() {
+    fn text_and_json_formats_give_the_same_load() {
         let text =
             "TEXT application_utilization=0.7,eps=0.5,rps_fractional=12,named_metrics.link=1.2,x=3,cpu=no";
         let json = r#"JSON {"application_utilization":0.7,"eps":0.5,"rps_fractional":12,"named_metrics":{"link":1.2}}"#;
-        let told = parse_report(text);
-        assert_eq!(told, parse_report(json));
+        let load = parse_report(text);
+        assert_eq!(load, parse_report(json));
         assert_eq!(
-            (told.util, told.fail_rate, told.rate, told.link),
+            (load.util, load.fail_rate, load.rate, load.link),
             (Some(0.7), Some(0.5), Some(12.0), Some(1.2))
         );
-        assert_eq!(told.uplink, None);
+        assert_eq!(load.uplink, None);
     }
 
     #[test]
-    fn what_can_not_be_read_tells_nothing() {
+    fn skips_unreadable_metrics_and_caps_utilization_at_one() {
         for text in ["", "BIN abc", "TEXT eps=-1", "TEXT eps=inf,=,a", "JSON {", "JSON [1]", "text eps=1"] {
             assert_eq!(parse_report(text), Load::default(), "{text}");
         }
--- a/src/edge/proof.rs
+++ b/src/edge/proof.rs
@@ -1,37 +1,38 @@
-//! What the outcome of a set-up at a WHIP or WHEP server proves. A paid session is set up once: it may be tried
-//! again, or refused, only where it is certain that nothing ran. Pure; the table is in `docs/whip-whep.md`.
+//! Classifies the outcome of a set-up at a WHIP or WHEP server by what it proves. A paid session must not be set up
+//! twice, so it may be retried or refused only if it is certain that nothing ran. The functions have no side effects;
+//! `docs/whip-whep.md` has the table of outcomes.
 
 use crate::api::Status;
 
-/// How a POST came out.
+/// The outcome of a POST.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// No connection came up, or it ended before a byte of the request was written.
+    /// No connection was established, or it ended before a byte of the request was written.
     Unsent,
-    /// The connection ended, or what came can't be read, after some of the request was written and before a whole
-    /// answer.
+    /// After some of the request was written and before a whole answer came, the connection ended or the answer turned
+    /// out to be unreadable.
     Broken,
-    /// A whole answer.
+    /// A whole answer came.
     Answer {
-        /// Its status.
+        /// The HTTP status code.
         code: u16,
-        /// It tells when to come again.
+        /// Whether it has a `Retry-After` header.
         retry_after: bool,
-        /// It has a description of the right type and a resource to end the session by.
+        /// Whether it has a session description of the right type and names the resource by which to end the session.
         complete: bool,
     },
 }
 
-/// What the outcome means to the core.
+/// What the outcome means to the broker core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Proof {
-    /// The session stands.
+    /// The session is established.
     Established,
-    /// It ended so; [`Status::never_ran`] tells whether that is proved.
+    /// The attempt ended with this status; [`Status::never_ran`] tells whether it is certain that nothing ran.
     Ended(Status),
 }
 
-/// Reads an outcome. What is not known to prove that nothing ran does not.
+/// Classifies an outcome. An outcome that is not listed here does not prove that nothing ran.
 pub fn classify(outcome: Outcome) -> Proof {
     let (code, retry_after, complete) = match outcome {
         Outcome::Unsent => return Proof::Ended(Status::ConnectFailed),
@@ -40,21 +41,21 @@
     };
     Proof::Ended(match code {
         201 if complete => return Proof::Established,
-        // RFC 9725, 4.1 and 4.5: a server that can't take the session says so, and when to come again. 429 is
-        // RFC 6585's word for the same.
+        // RFC 9725, 4.1 and 4.5: a server that can't accept the session answers 503 with Retry-After. 429 (RFC 6585)
+        // means the same.
         429 => Status::Saturated,
         503 if retry_after => Status::Saturated,
-        // Another resource would have to be asked; this one did nothing (RFC 9110, 15.4). Redirects are not
-        // followed: where a session goes is the module's decision.
+        // The request would have to go to another resource; this one did nothing (RFC 9110, 15.4). Redirects are not
+        // followed, because the decision module chooses the server of a session.
         300..=308 => Status::Moot,
-        // Something of that name is there already: perhaps this very session.
+        // A resource of that name exists already; it may be this very session.
         409 => Status::Errored,
-        // RFC 9110, 15.5: the request as it stands was not carried out.
+        // RFC 9110, 15.5: the server did not carry out the request.
         400..=499 => Status::Moot,
-        // Not known to this server at all (RFC 9110, 15.6.2 and 15.6.6).
+        // The server does not support the method or the HTTP version (RFC 9110, 15.6.2 and 15.6.6).
         501 | 505 => Status::Moot,
-        // 500, 502, 503 without a word on coming again, 504: somewhere behind it may have begun. Nor does a
-        // success prove anything that has no session to it.
+        // 500, 502, 503 without Retry-After, 504: a server behind this one may have begun the session. A success
+        // without a session proves nothing either.
         _ => Status::Errored,
     })
 }
@@ -67,14 +68,14 @@
         classify(Outcome::Answer { code, retry_after, complete })
     }
 
-    /// Guards against a paid session that is set up twice: every code is looked at, and what is not on the list of
-    /// proofs proves nothing.
+    /// Guards against setting up a paid session twice: checks every status code, and a code that is not listed must
+    /// not prove that nothing ran.
     #[test]
-    fn only_what_is_listed_proves_that_nothing_ran() {
+    fn only_listed_status_codes_prove_that_nothing_ran() {
         for code in 100..=999u16 {
             for retry_after in [false, true] {
                 let proved = match answered(code, retry_after, false) {
-                    Proof::Established => panic!("{code} without a session stands"),
+                    Proof::Established => panic!("{code} without a session counts as established"),
                     Proof::Ended(status) => status.never_ran(),
                 };
                 let listed = match code {
@@ -91,14 +92,14 @@
     }
 
     #[test]
-    fn only_a_whole_201_stands() {
+    fn only_a_complete_201_establishes_a_session() {
         assert_eq!(answered(201, false, true), Proof::Established);
         assert_eq!(answered(201, false, false), Proof::Ended(Status::Errored));
         assert_eq!(answered(200, false, true), Proof::Ended(Status::Errored));
     }
 
     #[test]
-    fn a_full_server_is_told_from_one_that_can_not_serve_this() {
+    fn distinguishes_a_saturated_server_from_one_that_can_not_serve_the_request() {
         assert_eq!(answered(503, true, false), Proof::Ended(Status::Saturated));
         assert_eq!(answered(429, false, false), Proof::Ended(Status::Saturated));
         assert_eq!(answered(404, false, false), Proof::Ended(Status::Moot));
