--- a/src/edge/tests.rs
+++ b/src/edge/tests.rs
@@ -12,7 +12,7 @@
     T + Micros(ms * 1000)
 }
 
-/// A pool before one server.
+/// A pool with one listed server, and what the pool has requested and reported.
 struct Fixture {
     pool: Pool,
     now: Micros,
@@ -46,7 +46,7 @@
         self.pool.set_up(self.now, &s, "clip", &mut self.out)
     }
 
-    /// Connections that were asked for since the last call.
+    /// Returns the connections that were requested since the last call.
     fn dials(&mut self) -> Vec<ConnId> {
         let dial = |c: &Command| if let Command::Dial(conn, _) = c { Some(*conn) } else { None };
         let dials = self.out.iter().filter_map(dial).collect();
@@ -66,7 +66,7 @@
         self.pool.closed(self.now, conn, how, &mut self.events, &mut self.out);
     }
 
-    /// What was written since the last call.
+    /// Returns the requests that were written since the last call.
     fn written(&mut self) -> Vec<String> {
         let write = |c: &Command| match c {
             Command::Write(_, bytes, _) => Some(String::from_utf8_lossy(bytes).into_owned()),
@@ -77,7 +77,8 @@
         written
     }
 
-    /// Lets time pass; gives the first lines of what was written.
+    /// Advances the time to `ms` after the start, opens the connections that are requested meanwhile, and returns the
+    /// first lines of the requests that were written.
     fn advance_to(&mut self, ms: u64) -> Vec<String> {
         let end = after(ms);
         while let Some(due) = self.pool.next_due().filter(|due| *due <= end) {
@@ -92,7 +93,7 @@
         written.iter().map(|w| w.lines().next().unwrap_or("").to_owned()).collect()
     }
 
-    /// A session that stands, and its connection.
+    /// Establishes a session and returns its connection.
     fn establish(&mut self, id: u64, more: &str) -> ConnId {
         self.set_up(id).unwrap();
         let conn = self.dials()[0];
@@ -118,7 +119,7 @@
     ConnectionEnd::Ended { unsent: Vec::new(), unfinished: Vec::new(), reset: true };
 
 #[test]
-fn a_session_is_ended_where_it_was_made_and_told_of_its_load() {
+fn reports_load_of_the_answer_and_ends_the_session_at_its_location() {
     let mut fixture = Fixture::new(None);
     let conn = fixture
         .establish(1, "endpoint-load-metrics: TEXT application_utilization=0.5,named_metrics.uplink=0.2\r\n");
@@ -136,7 +137,7 @@
 }
 
 #[test]
-fn an_end_is_repeated_on_new_connections_within_bounds() {
+fn repeats_a_delete_on_new_connections_up_to_the_limit() {
     let mut fixture = Fixture::new(None);
     let conn = fixture.establish(1, "");
     fixture.pool.release(fixture.now, SessionId(1), &mut fixture.out);
@@ -156,9 +157,10 @@
     );
 }
 
-/// The server may make the session after it was first asked to end it.
+/// Guards against a session that plays on because its first DELETE came too early: when the answer to a set-up is
+/// lost, the server may create the session after the first DELETE.
 #[test]
-fn a_session_whose_answer_was_lost_must_be_found_missing_more_than_once() {
+fn repeats_a_delete_after_not_found_when_the_set_up_answer_was_lost() {
     let mut fixture = Fixture::new(Some("/by-name/{session}"));
     fixture.set_up(0xab).unwrap();
     let conn = fixture.dials()[0];
@@ -188,24 +190,27 @@
 }
 
 #[test]
-fn connections_and_those_that_wait_are_bounded_and_nothing_that_waits_has_run() {
+fn bounds_connections_and_queue_and_reports_queued_set_ups_as_unsent() {
     let mut fixture = Fixture::new(None);
-    let most = MAX_CONNECTIONS_PER_SERVER + MAX_WAITING_EXCHANGES;
-    for id in 1..=most as u64 {
+    let capacity = MAX_CONNECTIONS_PER_SERVER + MAX_WAITING_EXCHANGES;
+    for id in 1..=capacity as u64 {
         assert_eq!(fixture.set_up(id), Ok(()));
     }
     assert_eq!(fixture.set_up(0), Err(Status::Moot));
     let dials = fixture.dials();
     assert_eq!(dials.len(), MAX_CONNECTIONS_PER_SERVER);
-    assert!((1..=most as u64).all(|id| fixture.pool.waits(SessionId(id))), "not a byte is written");
-    // One that is given up while it waits never leaves.
+    assert!(
+        (1..=capacity as u64).all(|id| fixture.pool.waits(SessionId(id))),
+        "nothing is written before a connection opens"
+    );
+    // A set-up that is given up while it waits is never sent.
     let waiting = MAX_CONNECTIONS_PER_SERVER as u64 + 1;
     fixture.pool.give_up(fixture.now, SessionId(waiting), &mut fixture.out);
     fixture.open(dials[0]);
     assert!(!fixture.pool.waits(SessionId(1)));
     fixture.receive(dials[0], &created("/made/1", ""));
-    assert!(!fixture.pool.waits(SessionId(waiting + 1)), "the next one has the connection");
-    // The server turns one down: all that wait for a connection are told, with proof.
+    assert!(!fixture.pool.waits(SessionId(waiting + 1)), "the next set-up uses the connection");
+    // The server refuses a connection: every queued set-up ends with a status that proves that nothing ran.
     fixture.events.clear();
     fixture.closed(dials[1], &ConnectionEnd::Refused);
     let ended = |t: &&PoolEvent| matches!(t, PoolEvent::Ended(_, _, Status::ConnectFailed, _));
@@ -214,7 +219,7 @@
 }
 
 #[test]
-fn a_late_answer_is_ended_and_one_that_never_comes_let_go() {
+fn ends_session_of_a_late_answer_and_aborts_when_no_answer_comes() {
     let mut fixture = Fixture::new(None);
     fixture.set_up(1).unwrap();
     let conn = fixture.dials()[0];
@@ -222,8 +227,8 @@
     fixture.pool.give_up(fixture.now, SessionId(1), &mut fixture.out);
     fixture.written();
     fixture.receive(conn, &created("made/1", ""));
-    assert!(fixture.events.is_empty(), "nobody waits for it");
-    assert!(fixture.written()[0].starts_with("DELETE /whep/made/1 "), "relative to what was asked");
+    assert!(fixture.events.is_empty(), "the set-up was given up");
+    assert!(fixture.written()[0].starts_with("DELETE /whep/made/1 "), "relative to the path of the request");
     fixture.set_up(2).unwrap();
     let conn = fixture.dials()[0];
     fixture.open(conn);
@@ -235,9 +240,10 @@
     assert!(fixture.out.contains(&Command::Abort(conn, "no-answer")));
 }
 
-/// The same name at another address is another server: what was asked of the old one does not count for it.
+/// Guards against an answer from the old address being taken for one of the server that has the same id at a new
+/// address.
 #[test]
-fn a_set_up_at_an_address_that_the_server_has_left_is_cut_and_proves_nothing() {
+fn aborts_set_up_as_reset_when_the_address_of_the_server_changes() {
     let mut fixture = Fixture::new(None);
     fixture.set_up(1).unwrap();
     let conn = fixture.dials()[0];
@@ -256,21 +262,21 @@
 }
 
 #[test]
-fn an_idle_connection_carries_nothing_that_its_close_could_cross() {
+fn opens_a_new_connection_when_the_old_one_has_been_idle_too_long() {
     let mut fixture = Fixture::new(None);
     let conn = fixture.establish(1, "");
     fixture.set_up(2).unwrap();
-    assert!(fixture.dials().is_empty(), "it is used again while it is fresh");
+    assert!(fixture.dials().is_empty(), "the connection is reused");
     fixture.receive(conn, &created("/made/2", ""));
     fixture.now = after(MAX_IDLE.0 / 1000);
     fixture.set_up(3).unwrap();
-    assert_eq!(fixture.dials().len(), 1, "a new one");
+    assert_eq!(fixture.dials().len(), 1, "a new connection");
     fixture.pool.tick(fixture.now, &mut fixture.out);
     assert!(fixture.out.contains(&Command::Close(conn, "idle")));
 }
 
 #[test]
-fn a_layer_is_chosen_where_the_server_has_a_place_for_it() {
+fn selects_a_layer_at_the_path_that_the_server_announced() {
     let mut fixture = Fixture::new(None);
     let layer = "Link: <http://media.example/made/1/layer>; rel=\"urn:ietf:params:whep:ext:core:layer\", <stun:a,b>; rel=ice-server\r\n";
     fixture.establish(1, layer);
@@ -284,7 +290,7 @@
 }
 
 #[test]
-fn the_place_of_a_session_is_a_path_on_the_server_that_made_it() {
+fn resource_path_keeps_only_the_path_of_the_location() {
     let place = |l: &str| resource_path(l, "/whep/sofa?rung=1");
     assert_eq!(place("/made/1").as_deref(), Some("/made/1"));
     assert_eq!(place("http://elsewhere.example:99/made/1?x=y#z").as_deref(), Some("/made/1?x=y"));
@@ -294,9 +300,10 @@
     }
 }
 
-/// Whatever a server says, in whatever pieces, nothing panics and each set-up is told of once at most.
+/// Checks that arbitrary bytes from a server, however they are split, cause no panic, and that each set-up ends with
+/// exactly one event.
 #[test]
-fn garbage_settles_each_set_up_once() {
+fn reports_each_set_up_once_when_the_server_sends_garbage() {
     use proptest::prelude::*;
     let config = ProptestConfig {
         cases: 400,
@@ -325,10 +332,10 @@
 }
 
 #[test]
-fn a_server_is_listened_to_while_sessions_stand_there() {
+fn reads_the_event_stream_of_a_server_that_holds_sessions() {
     let mut fixture = Fixture::new(None);
     fixture.pool.tick(fixture.now, &mut fixture.out);
-    assert!(fixture.dials().is_empty(), "nothing stands there");
+    assert!(fixture.dials().is_empty(), "the server holds no session");
     fixture.establish(1, "");
     fixture.events.clear();
     fixture.pool.tick(fixture.now, &mut fixture.out);
@@ -338,10 +345,13 @@
     assert_eq!(fixture.events, [PoolEvent::Note(SessionId(1), ServerId::new(A), Note::Link(0.8))]);
     fixture.receive(conn, "data: {\"ended\":\"/made/1\"}\n\ndata: {\"ended\":\"/made/1\"}\n\n");
     let ended = PoolEvent::Ended(SessionId(1), ServerId::new(A), Status::Completed, Load::default());
-    assert_eq!(fixture.events[1..], [ended], "once");
+    assert_eq!(fixture.events[1..], [ended], "reported once");
     assert!(!fixture.pool.holds(SessionId(1)));
     fixture.advance_to(29_000);
     assert!(!fixture.out.contains(&Command::Abort(conn, "no-answer")));
     fixture.advance_to(31_000);
-    assert!(fixture.out.contains(&Command::Abort(conn, "no-answer")), "it has been silent for too long");
+    assert!(
+        fixture.out.contains(&Command::Abort(conn, "no-answer")),
+        "the stream has been silent for too long"
+    );
 }
