--- a/src/node/servers.rs
+++ b/src/node/servers.rs
@@ -22,7 +22,7 @@
     /// notes need one.
     pub(super) fn check_silent_servers(&mut self, now: Micros, out: &mut Vec<Command>) {
         // Servers that speak WHIP or WHEP have no permanent connection that could be silent.
-        let platform_servers = self.servers.keys().filter(|s| !self.pool.serves(s));
+        let platform_servers = self.servers.keys().filter(|s| !self.pool.knows(s));
         let busy: Vec<ServerId> =
             platform_servers.filter(|s| self.broker.has_established_at(s)).cloned().collect();
         let connected = self.links.connected_servers();
@@ -75,7 +75,7 @@
                     lost.extend(is_replaced.then(|| id.clone()));
                 }
                 None => {
-                    let is_replaced = self.pool.serves(id) && state != ServerState::Gone;
+                    let is_replaced = self.pool.knows(id) && state != ServerState::Gone;
                     self.pool.forget(id);
                     lost.extend(is_replaced.then(|| id.clone()));
                     lost.extend(self.links.listed(id, listed.address, state, out));
@@ -92,7 +92,7 @@
             }
         }
         for server in lost {
-            self.pool.lost(now, &server, false, out);
+            self.pool.server_lost(now, &server, false, out);
             self.handle_input(now, Input::ServerLost(server), out);
         }
         let servers: Vec<ServerEntry> = update.servers.into_iter().map(|l| l.entry).collect();
@@ -123,7 +123,7 @@
                     // A draining server may refuse connections while its sessions play.
                     let ready = self.servers.get(&server).is_some_and(|(s, _)| *s == ServerState::Ready);
                     if ready && self.broker.has_established_at(&server) {
-                        self.pool.lost(now, &server, true, out);
+                        self.pool.server_lost(now, &server, true, out);
                         self.handle_input(now, Input::ServerLost(server), out);
                     }
                 }
@@ -140,7 +140,7 @@
 
     /// The number of session ends that media servers have not acknowledged.
     pub fn unheard_ends(&self) -> usize {
-        self.pool.ending()
+        self.pool.pending_ends()
     }
 
     /// Handles a message of an edge server.
@@ -193,7 +193,7 @@
             tracer.set_up_sent(now, set_up.id, &set_up.server, set_up.rung);
         }
         let before = out.len();
-        let sent = if self.pool.serves(&set_up.server) {
+        let sent = if self.pool.knows(&set_up.server) {
             self.pool.set_up(now, set_up, &class, out)
         } else {
             self.links.set_up(now, set_up, &class, out)
