--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -36,9 +36,11 @@
 const ABANDONED_SET_UP_TIMEOUT: Micros = Micros(30_000_000);
 /// A DELETE, a change of rung or a PATCH without an answer after this time has failed.
 const EXCHANGE_TIMEOUT: Micros = Micros(5_000_000);
-/// The most times that a DELETE is sent. The delay between two attempts doubles from the first to the longest delay.
+/// The most times that a DELETE is sent.
 const MAX_END_ATTEMPTS: u32 = 8;
+/// The delay before the second DELETE. It doubles with each further attempt, up to the longest delay.
 const FIRST_END_RETRY_DELAY: Micros = Micros(250_000);
+/// The longest delay between two DELETE attempts.
 const MAX_END_RETRY_DELAY: Micros = Micros(8_000_000);
 /// How many DELETE attempts a session whose set-up answer was lost needs before "not found" ends it: the server may
 /// create the session after the first attempts.
@@ -49,14 +51,17 @@
 const EVENT_STREAM_RETRY_INTERVAL: Micros = Micros(2_000_000);
 /// The most sessions whose DELETE is pending.
 const MAX_PENDING_ENDS: usize = 4096;
-/// The longest body of an answer. It must also fit into one message of the platform protocol.
+/// The longest body of an answer. It must also fit into one message of the platform protocol,
+/// for clients that use it.
 const MAX_BODY_BYTES: usize = 15 * 1024;
-/// The most `Link` headers of one answer that are passed on, and the longest of them.
+/// The most `Link` values of one answer that are passed on.
 const MAX_ICE_LINKS: usize = 8;
+/// The longest `Link` value that is read.
 const MAX_LINK_BYTES: usize = 1024;
 
 /// The media type of a trickle ICE fragment (RFC 8840).
 pub const FRAGMENT: &str = "application/trickle-ice-sdpfrag";
+/// The link relation of the path at which a layer is selected (WHEP extension).
 const LAYER_RELATION: &str = "urn:ietf:params:whep:ext:core:layer";
 
 /// What the pool reports about servers and their sessions.
@@ -146,7 +151,7 @@
 #[derive(Debug)]
 struct Connection {
     address: SocketAddr,
-    open: bool,
+    is_open: bool,
     closing: bool,
     responses: Responses,
     exchange: Option<Exchange>,
@@ -169,13 +174,13 @@
 
 /// Returns the path of the resource that a `Location` or `Link` names. Of an absolute URL only the path is used: the
 /// resource is always requested from the server that created it, never from another host.
-fn resource_path(location: &str, asked: &str) -> Option<String> {
+fn resource_path(location: &str, request_path: &str) -> Option<String> {
     let is_valid = |p: &str| p.bytes().all(|b| b.is_ascii_graphic());
     let path = match location.split_once("://") {
         Some((_, rest)) => format!("/{}", rest.split_once('/').map_or("", |(_, path)| path)),
         None if location.starts_with('/') => location.to_owned(),
         None => {
-            let folder = asked.split('?').next()?.rsplit_once('/').map_or("", |(folder, _)| folder);
+            let folder = request_path.split('?').next()?.rsplit_once('/').map_or("", |(folder, _)| folder);
             format!("{folder}/{location}")
         }
     };
@@ -208,14 +213,16 @@
         let target = Target { address, paths: paths.clone() };
         let moved =
             self.targets.insert(server.clone(), target).is_some_and(|before| before.address != address);
-        let old = |c: &Connection| match &c.exchange {
+        let carries_set_up_to_old_address = |connection: &Connection| match &connection.exchange {
             Some(Exchange { kind: ExchangeKind::SetUp { server: of, .. }, .. }) => {
-                of == server && c.address != address
+                of == server && connection.address != address
             }
             _ => false,
         };
-        for (conn, c) in self.conns.iter_mut().filter(|(_, c)| moved && !c.closing && old(c)) {
-            c.closing = true;
+        for (conn, connection) in self.conns.iter_mut().filter(|(_, connection)| {
+            moved && !connection.closing && carries_set_up_to_old_address(connection)
+        }) {
+            connection.closing = true;
             out.push(Command::Abort(*conn, "moved"));
         }
         moved
@@ -246,7 +253,7 @@
 
     /// Whether a session is established, or being set up, at a server of this pool.
     pub fn holds(&self, id: SessionId) -> bool {
-        let mut exchanges = self.conns.values().filter_map(|c| c.exchange.as_ref());
+        let mut exchanges = self.conns.values().filter_map(|connection| connection.exchange.as_ref());
         self.resources.contains_key(&id) || exchanges.any(|e| e.is_set_up_of(id)) || self.is_queued(id)
     }
 
@@ -257,7 +264,11 @@
 
     /// Whether a set-up still waits for its connection to open, so that it certainly has not run.
     pub fn waits(&self, id: SessionId) -> bool {
-        let mut unopened = self.conns.values().filter(|c| !c.open).filter_map(|c| c.exchange.as_ref());
+        let mut unopened = self
+            .conns
+            .values()
+            .filter(|connection| !connection.is_open)
+            .filter_map(|connection| connection.exchange.as_ref());
         unopened.any(|e| e.is_set_up_of(id)) || self.is_queued(id)
     }
 
@@ -284,23 +295,29 @@
     pub fn set_up(
         &mut self,
         now: Micros,
-        s: &SetUp,
+        set_up: &SetUp,
         class: &str,
         out: &mut Vec<Command>,
     ) -> Result<(), Status> {
-        let Some(target) = self.targets.get(&s.server) else { return Err(Status::ConnectFailed) };
-        let (address, rung) = (target.address, s.rung.unwrap_or_default().0.to_string());
+        let Some(target) = self.targets.get(&set_up.server) else { return Err(Status::ConnectFailed) };
+        let (address, rung) = (target.address, set_up.rung.unwrap_or_default().0.to_string());
         let fill = |path: &Text| {
-            path.replace("{title}", &encode(&s.title))
+            path.replace("{title}", &encode(&set_up.title))
                 .replace("{class}", &encode(class))
                 .replace("{rung}", &rung)
-                .replace("{session}", &format!("{:016x}", s.id.0))
+                .replace("{session}", &format!("{:016x}", set_up.id.0))
         };
         let (path, end_path) = (fill(&target.paths.set_up), target.paths.end.as_ref().map(fill));
         let headers = [("Accept", "application/sdp")];
-        let body = Some(("application/sdp", &*s.offer));
+        let body = Some(("application/sdp", &*set_up.offer));
         let bytes = client::request("POST", &address.to_string(), &path, &headers, body);
-        let kind = ExchangeKind::SetUp { id: s.id, server: s.server.clone(), path, end_path, given_up: None };
+        let kind = ExchangeKind::SetUp {
+            id: set_up.id,
+            server: set_up.server.clone(),
+            path,
+            end_path,
+            given_up: None,
+        };
         if self.start_exchange(now, address, Exchange { kind, bytes, sent_at: now }, out) {
             Ok(())
         } else {
@@ -317,61 +334,70 @@
         exchange: Exchange,
         out: &mut Vec<Command>,
     ) -> bool {
-        let is_idle = |c: &Connection| {
-            c.address == address
-                && c.open
-                && !c.closing
-                && c.exchange.is_none()
-                && now - c.last_used < MAX_IDLE
+        let is_idle = |connection: &Connection| {
+            connection.address == address
+                && connection.is_open
+                && !connection.closing
+                && connection.exchange.is_none()
+                && now - connection.last_used < MAX_IDLE
         };
-        let idle_conn =
-            self.conns.iter().filter(|(_, c)| is_idle(c)).max_by_key(|(_, c)| c.last_used).map(|(id, _)| *id);
+        let idle_conn = self
+            .conns
+            .iter()
+            .filter(|(_, connection)| is_idle(connection))
+            .max_by_key(|(_, connection)| connection.last_used)
+            .map(|(id, _)| *id);
         if let Some(conn) = idle_conn {
             self.send_exchange(now, conn, exchange, out);
             return true;
         }
-        if self.conns.values().filter(|c| c.address == address).count() < MAX_CONNECTIONS_PER_SERVER {
+        if self.conns.values().filter(|connection| connection.address == address).count()
+            < MAX_CONNECTIONS_PER_SERVER
+        {
             self.last_conn_number += 1;
             let conn = ConnId(FIRST_CONN + self.last_conn_number);
             let (responses, exchange) = (Responses::default(), Some(exchange));
-            let (open, closing, stream) = (false, false, sse::Stream::default());
+            let (is_open, closing, stream) = (false, false, sse::Stream::default());
             let connection =
-                Connection { address, open, closing, responses, exchange, stream, last_used: now };
+                Connection { address, is_open, closing, responses, exchange, stream, last_used: now };
             self.conns.insert(conn, connection);
             out.push(Command::Dial(conn, address));
             return true;
         }
         let waiting = self.waiting.entry(address).or_default();
-        let room = waiting.len() < MAX_WAITING_EXCHANGES;
-        if room {
+        let has_room = waiting.len() < MAX_WAITING_EXCHANGES;
+        if has_room {
             waiting.push_back(exchange);
         }
-        room
+        has_room
     }
 
     fn send_exchange(&mut self, now: Micros, conn: ConnId, mut exchange: Exchange, out: &mut Vec<Command>) {
-        let Some(c) = self.conns.get_mut(&conn) else { return };
-        let tag = if let ExchangeKind::SetUp { id, .. } = &exchange.kind { Some(*id) } else { None };
-        out.push(Command::Write(conn, std::mem::take(&mut exchange.bytes), tag));
-        (exchange.sent_at, c.last_used) = (now, now);
-        c.exchange = Some(exchange);
+        let Some(connection) = self.conns.get_mut(&conn) else { return };
+        let session = if let ExchangeKind::SetUp { id, .. } = &exchange.kind { Some(*id) } else { None };
+        out.push(Command::Write(conn, std::mem::take(&mut exchange.bytes), session));
+        (exchange.sent_at, connection.last_used) = (now, now);
+        connection.exchange = Some(exchange);
     }
 
     /// Gives up a set-up. One that still waits is never sent; the answer to one that was sent is still read.
     pub fn give_up(&mut self, now: Micros, id: SessionId, out: &mut Vec<Command>) {
-        let mine =
+        let is_this_set_up =
             |e: &Exchange| matches!(&e.kind, ExchangeKind::SetUp { id: of, given_up: None, .. } if *of == id);
         for waiting in self.waiting.values_mut() {
-            waiting.retain(|e| !mine(e));
+            waiting.retain(|e| !is_this_set_up(e));
         }
-        let found = self.conns.iter_mut().find(|(_, c)| c.exchange.as_ref().is_some_and(mine));
-        let Some((conn, c)) = found else { return };
-        if !c.open {
-            c.closing = true;
-            c.exchange = None;
+        let found = self
+            .conns
+            .iter_mut()
+            .find(|(_, connection)| connection.exchange.as_ref().is_some_and(is_this_set_up));
+        let Some((conn, connection)) = found else { return };
+        if !connection.is_open {
+            connection.closing = true;
+            connection.exchange = None;
             return out.push(Command::Abort(*conn, "given-up"));
         }
-        if let Some(Exchange { kind: ExchangeKind::SetUp { given_up, .. }, .. }) = &mut c.exchange {
+        if let Some(Exchange { kind: ExchangeKind::SetUp { given_up, .. }, .. }) = &mut connection.exchange {
             *given_up = Some(now);
         }
     }
@@ -481,9 +507,9 @@
 
     /// Handles a connection that has opened.
     pub fn opened(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
-        let Some(c) = self.conns.get_mut(&conn) else { return };
-        (c.open, c.last_used) = (true, now);
-        if let Some(exchange) = c.exchange.take() {
+        let Some(connection) = self.conns.get_mut(&conn) else { return };
+        (connection.is_open, connection.last_used) = (true, now);
+        if let Some(exchange) = connection.exchange.take() {
             self.send_exchange(now, conn, exchange, out);
         }
     }
@@ -497,45 +523,46 @@
         events: &mut Vec<PoolEvent>,
         out: &mut Vec<Command>,
     ) {
-        let Some(c) = self.conns.get_mut(&conn).filter(|c| !c.closing) else { return };
-        c.last_used = now;
-        if let Some(Exchange { kind: ExchangeKind::Events(server), .. }) = &c.exchange {
+        let Some(connection) = self.conns.get_mut(&conn).filter(|c| !c.closing) else { return };
+        connection.last_used = now;
+        if let Some(Exchange { kind: ExchangeKind::Events(server), .. }) = &connection.exchange {
             let server = server.clone();
-            match news::read_events(&mut c.stream, bytes) {
+            match news::read_events(&mut connection.stream, bytes) {
                 Ok(edge_events) => self.handle_edge_events(&server, edge_events, events),
                 Err(error) => {
-                    c.closing = true;
+                    connection.closing = true;
                     out.push(Command::Abort(conn, error.code()));
                 }
             }
             return;
         }
-        c.responses.feed(bytes);
-        if c.exchange.is_none() {
+        connection.responses.feed(bytes);
+        if connection.exchange.is_none() {
             // No request is open: these bytes answer nothing, and later ones could be mistaken for the answer to the
             // next request.
-            c.closing = true;
+            connection.closing = true;
             return out.push(Command::Close(conn, "unasked"));
         }
-        match c.responses.next_response(MAX_BODY_BYTES) {
+        match connection.responses.next_response(MAX_BODY_BYTES) {
             Ok(None) => {}
             Ok(Some(response)) => {
-                let exchange = c.exchange.take();
-                if !response.keep_alive || c.responses.begun() {
-                    c.closing = true;
+                let exchange = connection.exchange.take();
+                if !response.keep_alive || connection.responses.begun() {
+                    connection.closing = true;
                     out.push(Command::Close(conn, if response.keep_alive { "unasked" } else { "done" }));
                 }
-                let address = c.address;
+                let address = connection.address;
                 if let Some(exchange) = exchange {
                     self.handle_response(now, address, exchange.kind, response, events, out);
                 }
                 self.start_next_waiting(now, address, out);
             }
             Err(error) => {
-                c.closing = true;
+                connection.closing = true;
                 out.push(Command::Abort(conn, error.code()));
-                let (exchange, unfinished) = (c.exchange.take(), c.responses.unfinished().cloned());
-                let address = c.address;
+                let (exchange, unfinished) =
+                    (connection.exchange.take(), connection.responses.unfinished().cloned());
+                let address = connection.address;
                 if let Some(exchange) = exchange {
                     self.handle_broken_exchange(
                         now,
@@ -584,8 +611,11 @@
         }
         let stream_server =
             |e: &Exchange| if let ExchangeKind::Events(s) = &e.kind { Some(s.clone()) } else { None };
-        let open: Vec<ServerId> =
-            self.conns.values().filter_map(|c| stream_server(c.exchange.as_ref()?)).collect();
+        let open: Vec<ServerId> = self
+            .conns
+            .values()
+            .filter_map(|connection| stream_server(connection.exchange.as_ref()?))
+            .collect();
         let mut servers: Vec<&ServerId> = self.resources.values().map(|r| &r.server).collect();
         servers.sort_unstable();
         servers.dedup();
@@ -672,12 +702,13 @@
         out: &mut Vec<Command>,
     ) {
         let resource = response.header("location").and_then(|l| resource_path(l, &path));
-        let sdp = response.content_type().as_deref() == Some("application/sdp");
-        let described = sdp && std::str::from_utf8(&response.body).is_ok_and(|b| b.starts_with("v=0"));
+        let is_sdp = response.content_type().as_deref() == Some("application/sdp");
+        let has_description =
+            is_sdp && std::str::from_utf8(&response.body).is_ok_and(|b| b.starts_with("v=0"));
         let outcome = Outcome::Answer {
             code: response.status,
             retry_after: response.header("retry-after").is_some(),
-            complete: described && resource.is_some(),
+            complete: has_description && resource.is_some(),
         };
         let report = response.header(load::HEADER).map(load::parse_report).unwrap_or_default();
         let result = classify(outcome);
@@ -730,13 +761,13 @@
             ExchangeKind::SetUp { id, server, path, end_path, given_up } => {
                 // The head of a 201 names the session it created, which is enough to end it. Without it, the session
                 // can only be ended at a server that identifies sessions by the broker's ids.
-                let place = unfinished.filter(|r| r.status == 201).and_then(|r| r.header("location"));
-                let place = place.and_then(|l| resource_path(l, &path));
-                let creation_unconfirmed = place.is_none();
-                let place = place.or(end_path.filter(|_| !unsent));
-                let known = place.is_some() || unsent;
-                if let Some(place) = place {
-                    self.queue_end(now, id, address, place, creation_unconfirmed, out);
+                let location_path = unfinished.filter(|r| r.status == 201).and_then(|r| r.header("location"));
+                let location_path = location_path.and_then(|l| resource_path(l, &path));
+                let creation_unconfirmed = location_path.is_none();
+                let location_path = location_path.or(end_path.filter(|_| !unsent));
+                let is_resolved = location_path.is_some() || unsent;
+                if let Some(location_path) = location_path {
+                    self.queue_end(now, id, address, location_path, creation_unconfirmed, out);
                 }
                 if given_up.is_none() {
                     let outcome = if unsent { Outcome::Unsent } else { Outcome::Broken };
@@ -745,7 +776,7 @@
                         Proof::Established => Status::Reset,
                     };
                     events.push(PoolEvent::Ended(id, server, status, Load::default()));
-                } else if !known {
+                } else if !is_resolved {
                     events.push(PoolEvent::Log(format!("late answer lost id={:016x} at={address}", id.0)));
                 }
             }
@@ -764,22 +795,22 @@
         events: &mut Vec<PoolEvent>,
         out: &mut Vec<Command>,
     ) {
-        let Some(c) = self.conns.remove(&conn) else { return };
+        let Some(connection) = self.conns.remove(&conn) else { return };
         let not_connected =
             matches!(how, ConnectionEnd::Refused | ConnectionEnd::NoAnswer | ConnectionEnd::Unopened);
-        if let Some(exchange) = c.exchange {
-            let mine = |unsent: &Vec<SessionId>| match &exchange.kind {
+        if let Some(exchange) = connection.exchange {
+            let is_unsent = |unsent: &Vec<SessionId>| match &exchange.kind {
                 ExchangeKind::SetUp { id, .. } => unsent.contains(id),
                 _ => false,
             };
             let unsent = not_connected
-                || !c.open
-                || matches!(how, ConnectionEnd::Ended { unsent, .. } if mine(unsent));
+                || !connection.is_open
+                || matches!(how, ConnectionEnd::Ended { unsent, .. } if is_unsent(unsent));
             self.handle_broken_exchange(
                 now,
-                c.address,
+                connection.address,
                 exchange.kind,
-                c.responses.unfinished(),
+                connection.responses.unfinished(),
                 unsent,
                 events,
                 out,
@@ -787,34 +818,40 @@
         }
         if not_connected {
             // The queued exchanges would be refused too, one after the other.
-            let waiting = self.waiting.remove(&c.address).unwrap_or_default();
+            let waiting = self.waiting.remove(&connection.address).unwrap_or_default();
             for exchange in waiting {
-                self.handle_broken_exchange(now, c.address, exchange.kind, None, true, events, out);
+                self.handle_broken_exchange(now, connection.address, exchange.kind, None, true, events, out);
             }
             if matches!(how, ConnectionEnd::Refused) {
-                let at_server = self.targets.iter().filter(|(_, t)| t.address == c.address);
+                let at_server = self.targets.iter().filter(|(_, t)| t.address == connection.address);
                 events.extend(at_server.map(|(server, _)| PoolEvent::Refused(server.clone())));
             }
         } else {
-            self.start_next_waiting(now, c.address, out);
+            self.start_next_waiting(now, connection.address, out);
         }
     }
 
     /// Returns when [`Pool::tick`] is due next.
     pub fn next_due(&self) -> Option<Micros> {
         let ends = self.ends.values().filter_map(|e| e.next_attempt);
-        let conns = self.conns.values().filter(|c| !c.closing).filter_map(|c| self.connection_due(c));
+        let conns = self
+            .conns
+            .values()
+            .filter(|connection| !connection.closing)
+            .filter_map(|connection| self.connection_due(connection));
         ends.chain(conns).min()
     }
 
     /// Returns when a connection is to be closed or aborted if nothing happens on it.
-    fn connection_due(&self, c: &Connection) -> Option<Micros> {
-        match &c.exchange {
-            None => Some(c.last_used + MAX_IDLE),
+    fn connection_due(&self, connection: &Connection) -> Option<Micros> {
+        match &connection.exchange {
+            None => Some(connection.last_used + MAX_IDLE),
             Some(Exchange { kind: ExchangeKind::SetUp { given_up, .. }, .. }) => {
                 given_up.map(|at| at + ABANDONED_SET_UP_TIMEOUT)
             }
-            Some(Exchange { kind: ExchangeKind::Events(_), .. }) => Some(c.last_used + EVENT_STREAM_TIMEOUT),
+            Some(Exchange { kind: ExchangeKind::Events(_), .. }) => {
+                Some(connection.last_used + EVENT_STREAM_TIMEOUT)
+            }
             Some(exchange) => Some(exchange.sent_at + EXCHANGE_TIMEOUT),
         }
     }
@@ -824,13 +861,15 @@
         let due: Vec<ConnId> = self
             .conns
             .iter()
-            .filter(|(_, c)| !c.closing && self.connection_due(c).is_some_and(|at| at <= now))
+            .filter(|(_, connection)| {
+                !connection.closing && self.connection_due(connection).is_some_and(|at| at <= now)
+            })
             .map(|(id, _)| *id)
             .collect();
         for conn in due {
-            let Some(c) = self.conns.get_mut(&conn) else { continue };
-            c.closing = true;
-            out.push(match c.exchange {
+            let Some(connection) = self.conns.get_mut(&conn) else { continue };
+            connection.closing = true;
+            out.push(match connection.exchange {
                 None => Command::Close(conn, "idle"),
                 Some(_) => Command::Abort(conn, "no-answer"),
             });
--- a/src/edge/tests.rs
+++ b/src/edge/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 use crate::broker::Description;
 
-const T: Micros = Micros(1_000_000_000);
-const A: &str = "m-a";
+const START: Micros = Micros(1_000_000_000);
+const SERVER: &str = "m-a";
 
 fn address() -> SocketAddr {
     ([127, 0, 0, 1], 80).into()
 }
 
 fn after(ms: u64) -> Micros {
-    T + Micros(ms * 1000)
+    START + Micros(ms * 1000)
 }
 
 /// A pool with one listed server, and what the pool has requested and reported.
@@ -28,15 +28,15 @@
             end: end.map(Text::from),
             events: Some("/events".into()),
         };
-        pool.listed(&ServerId::new(A), address(), &paths, ServerState::Ready, &mut Vec::new());
-        Fixture { pool, now: T, out: Vec::new(), events: Vec::new() }
+        pool.listed(&ServerId::new(SERVER), address(), &paths, ServerState::Ready, &mut Vec::new());
+        Fixture { pool, now: START, out: Vec::new(), events: Vec::new() }
     }
 
     fn set_up(&mut self, id: u64) -> Result<(), Status> {
         let s = SetUp {
             id: SessionId(id),
             attempt: 0,
-            server: ServerId::new(A),
+            server: ServerId::new(SERVER),
             class: 0,
             title: "blue sofa".into(),
             rung: Some(Rung(2)),
@@ -94,13 +94,13 @@
     }
 
     /// Establishes a session and returns its connection.
-    fn establish(&mut self, id: u64, more: &str) -> ConnId {
+    fn establish(&mut self, id: u64, headers: &str) -> ConnId {
         self.set_up(id).unwrap();
         let conn = self.dials()[0];
         self.open(conn);
-        let asked = self.written();
-        assert!(asked[0].starts_with("POST /whep/blue%20sofa?rung=2 HTTP/1.1\r\n"), "{asked:?}");
-        self.receive(conn, &created("/made/1", more));
+        let requests = self.written();
+        assert!(requests[0].starts_with("POST /whep/blue%20sofa?rung=2 HTTP/1.1\r\n"), "{requests:?}");
+        self.receive(conn, &created("/made/1", headers));
         assert!(
             matches!(self.events.first(), Some(PoolEvent::Answer(of, ..)) if of.0 == id),
             "{:?}",
@@ -110,9 +110,9 @@
     }
 }
 
-fn created(place: &str, more: &str) -> String {
+fn created(location: &str, headers: &str) -> String {
     let head = "HTTP/1.1 201 Created\r\nContent-Type: application/sdp\r\nContent-Length: 5\r\n";
-    format!("{head}Location: {place}\r\n{more}\r\nv=0\r\n")
+    format!("{head}Location: {location}\r\n{headers}\r\nv=0\r\n")
 }
 
 const CONNECTION_RESET: ConnectionEnd =
@@ -143,15 +143,15 @@
     fixture.pool.release(fixture.now, SessionId(1), &mut fixture.out);
     fixture.written();
     fixture.closed(conn, &CONNECTION_RESET);
-    let mut tries = 1;
+    let mut attempts = 1;
     for _ in 0..40 {
-        let again = fixture.advance_to((fixture.now - T).0 / 1000 + 10_000);
-        tries += again.iter().filter(|line| line.starts_with("DELETE /made/1")).count();
+        let again = fixture.advance_to((fixture.now - START).0 / 1000 + 10_000);
+        attempts += again.iter().filter(|line| line.starts_with("DELETE /made/1")).count();
         for conn in fixture.pool.conns.keys().copied().collect::<Vec<_>>() {
             fixture.closed(conn, &CONNECTION_RESET);
         }
     }
-    assert_eq!((tries, fixture.pool.pending_ends()), (MAX_END_ATTEMPTS as usize, 0));
+    assert_eq!((attempts, fixture.pool.pending_ends()), (MAX_END_ATTEMPTS as usize, 0));
     assert!(
         fixture.events.iter().any(|t| matches!(t, PoolEvent::Log(line) if line.starts_with("end not heard")))
     );
@@ -169,24 +169,24 @@
     fixture.closed(conn, &CONNECTION_RESET);
     assert_eq!(
         fixture.events,
-        [PoolEvent::Ended(SessionId(0xab), ServerId::new(A), Status::Reset, Load::default())]
+        [PoolEvent::Ended(SessionId(0xab), ServerId::new(SERVER), Status::Reset, Load::default())]
     );
-    let mut tries = 0;
+    let mut attempts = 0;
     for n in 1..200 {
         for conn in fixture.dials() {
             fixture.open(conn);
         }
-        let asked = fixture.advance_to(n * 100);
+        let requests = fixture.advance_to(n * 100);
         let first = fixture.written();
-        for line in asked.iter().chain(&first) {
+        for line in requests.iter().chain(&first) {
             assert!(line.starts_with("DELETE /by-name/00000000000000ab"), "{line}");
-            tries += 1;
+            attempts += 1;
             let conn =
                 fixture.pool.conns.iter().find(|(_, c)| c.exchange.is_some()).map(|(id, _)| *id).unwrap();
             fixture.receive(conn, "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n");
         }
     }
-    assert_eq!((tries, fixture.pool.pending_ends()), (MIN_UNCONFIRMED_END_ATTEMPTS, 0));
+    assert_eq!((attempts, fixture.pool.pending_ends()), (MIN_UNCONFIRMED_END_ATTEMPTS, 0));
 }
 
 #[test]
@@ -215,7 +215,7 @@
     fixture.closed(dials[1], &ConnectionEnd::Refused);
     let ended = |t: &&PoolEvent| matches!(t, PoolEvent::Ended(_, _, Status::ConnectFailed, _));
     assert_eq!(fixture.events.iter().filter(ended).count(), 1 + MAX_WAITING_EXCHANGES - 2);
-    assert!(fixture.events.contains(&PoolEvent::Refused(ServerId::new(A))));
+    assert!(fixture.events.contains(&PoolEvent::Refused(ServerId::new(SERVER))));
 }
 
 #[test]
@@ -250,14 +250,20 @@
     fixture.open(conn);
     let paths = Paths { set_up: "/whep/{title}".into(), end: None, events: None };
     let elsewhere = ([127, 0, 0, 1], 81).into();
-    assert!(fixture.pool.listed(&ServerId::new(A), elsewhere, &paths, ServerState::Ready, &mut fixture.out));
+    assert!(fixture.pool.listed(
+        &ServerId::new(SERVER),
+        elsewhere,
+        &paths,
+        ServerState::Ready,
+        &mut fixture.out
+    ));
     assert!(fixture.out.contains(&Command::Abort(conn, "moved")));
     fixture.receive(conn, &created("/made/1", ""));
     assert!(fixture.events.is_empty());
     fixture.closed(conn, &CONNECTION_RESET);
     assert_eq!(
         fixture.events,
-        [PoolEvent::Ended(SessionId(1), ServerId::new(A), Status::Reset, Load::default())]
+        [PoolEvent::Ended(SessionId(1), ServerId::new(SERVER), Status::Reset, Load::default())]
     );
 }
 
@@ -282,21 +288,21 @@
     fixture.establish(1, layer);
     assert_eq!(fixture.pool.ice_links(SessionId(1)), ["<stun:a,b>; rel=ice-server"]);
     fixture.pool.change_rung(fixture.now, SessionId(1), Rung(3), &mut fixture.out);
-    let asked = fixture.written();
+    let requests = fixture.written();
     assert!(
-        asked[0].starts_with("POST /made/1/layer ") && asked[0].ends_with("{\"encodingId\":\"3\"}"),
-        "{asked:?}"
+        requests[0].starts_with("POST /made/1/layer ") && requests[0].ends_with("{\"encodingId\":\"3\"}"),
+        "{requests:?}"
     );
 }
 
 #[test]
 fn resource_path_keeps_only_the_path_of_the_location() {
-    let place = |l: &str| resource_path(l, "/whep/sofa?rung=1");
-    assert_eq!(place("/made/1").as_deref(), Some("/made/1"));
-    assert_eq!(place("http://elsewhere.example:99/made/1?x=y#z").as_deref(), Some("/made/1?x=y"));
-    assert_eq!(place("made/1").as_deref(), Some("/whep/made/1"));
+    let path_of = |l: &str| resource_path(l, "/whep/sofa?rung=1");
+    assert_eq!(path_of("/made/1").as_deref(), Some("/made/1"));
+    assert_eq!(path_of("http://elsewhere.example:99/made/1?x=y#z").as_deref(), Some("/made/1?x=y"));
+    assert_eq!(path_of("made/1").as_deref(), Some("/whep/made/1"));
     for none in ["", "/", "http://host", "/a b", "/a\r\nX: y"] {
-        assert_eq!(place(none), None, "{none:?}");
+        assert_eq!(path_of(none), None, "{none:?}");
     }
 }
 
@@ -342,9 +348,9 @@
     assert!(fixture.written()[0].starts_with("GET /events HTTP/1.1\r\n"));
     let conn = fixture.pool.conns.iter().find(|(_, c)| c.exchange.is_some()).map(|(id, _)| *id).unwrap();
     fixture.receive(conn, "HTTP/1.1 200 OK\r\n\r\ndata: {\"link\":0.8}\n\n");
-    assert_eq!(fixture.events, [PoolEvent::Note(SessionId(1), ServerId::new(A), Note::Link(0.8))]);
+    assert_eq!(fixture.events, [PoolEvent::Note(SessionId(1), ServerId::new(SERVER), Note::Link(0.8))]);
     fixture.receive(conn, "data: {\"ended\":\"/made/1\"}\n\ndata: {\"ended\":\"/made/1\"}\n\n");
-    let ended = PoolEvent::Ended(SessionId(1), ServerId::new(A), Status::Completed, Load::default());
+    let ended = PoolEvent::Ended(SessionId(1), ServerId::new(SERVER), Status::Completed, Load::default());
     assert_eq!(fixture.events[1..], [ended], "reported once");
     assert!(!fixture.pool.holds(SessionId(1)));
     fixture.advance_to(29_000);
