--- a/fuzz/tests/readers.rs
+++ b/fuzz/tests/readers.rs
@@ -2,7 +2,7 @@
 //! what the whole gives.
 
 use amberspindle::edge::load;
-use amberspindle::http::client::Responses;
+use amberspindle::http::client::ResponseDecoder;
 use amberspindle::http::server;
 use amberspindle::http::uri;
 use amberspindle::message::binary;
@@ -64,7 +64,7 @@
 fn responses() {
     check!().with_iterations(ROUNDS).for_each(|bytes: &[u8]| {
         let read = |pieces: &[&[u8]]| {
-            let mut decoder = Responses::default();
+            let mut decoder = ResponseDecoder::default();
             read(pieces, |piece| {
                 piece.into_iter().for_each(|piece| decoder.feed(piece));
                 let response = decoder.next_response(LARGEST);
--- a/src/board.rs
+++ b/src/board.rs
@@ -114,7 +114,7 @@
         self.stream = Some(sse::Stream::default());
         let last = self.last_event.to_string();
         let headers = [("Accept", "text/event-stream"), ("Last-Event-ID", last.as_str())];
-        client::request("GET", host, "/board/poll", &headers, None)
+        client::encode_request("GET", host, "/board/poll", &headers, None)
     }
 
     /// Takes in bytes of the connection and appends the list updates, including those before an error. After an
--- a/src/board/patience.rs
+++ b/src/board/patience.rs
@@ -26,16 +26,16 @@
     /// Starts the timeout for a new connection.
     pub fn begin(&mut self, now: Micros) {
         // An item that is pending on the last connection was not completed there.
-        self.was_cut_short |= self.progress.pending > 0;
+        self.was_cut_short |= self.progress.pending_bytes > 0;
         (self.last_progress_at, self.progress) = (now, Progress::default());
     }
 
     /// Records what has arrived on the connection by now.
     pub fn progressed(&mut self, now: Micros, progress: Progress) {
-        if progress.whole > self.progress.whole {
+        if progress.completed_items > self.progress.completed_items {
             self.last_progress_at = now;
         }
-        if progress.events > self.progress.events {
+        if progress.completed_events > self.progress.completed_events {
             self.was_cut_short = false;
         }
         self.progress = progress;
@@ -43,7 +43,7 @@
 
     /// Returns the time at which the connection times out unless another item is completed.
     pub fn deadline(&self) -> Micros {
-        let pending = self.progress.pending as u64;
+        let pending = self.progress.pending_bytes as u64;
         if pending == 0 {
             return self.last_progress_at + SILENCE_TIMEOUT;
         }
@@ -62,8 +62,8 @@
         START + Micros(ms * 1_000)
     }
 
-    fn progress(whole: u64, events: u64, pending: usize) -> Progress {
-        Progress { whole, events, pending }
+    fn progress(completed_items: u64, completed_events: u64, pending_bytes: usize) -> Progress {
+        Progress { completed_items, completed_events, pending_bytes }
     }
 
     #[test]
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::api::{Load, Micros, Note, Rung, ServerId, ServerState, SessionId, Status, Text};
 use crate::broker::{Description, SetUp};
-use crate::http::client::{self, Response, Responses};
+use crate::http::client::{self, Response, ResponseDecoder};
 use crate::http::sse;
 use crate::http::uri::encode;
 use crate::platform::links::{Command, ConnId, ConnectionEnd};
@@ -153,7 +153,7 @@
     address: SocketAddr,
     is_open: bool,
     closing: bool,
-    responses: Responses,
+    responses: ResponseDecoder,
     exchange: Option<Exchange>,
     stream: sse::Stream,
     last_used: Micros,
@@ -310,7 +310,7 @@
         let (path, end_path) = (fill(&target.paths.set_up), target.paths.end.as_ref().map(fill));
         let headers = [("Accept", "application/sdp")];
         let body = Some(("application/sdp", &*set_up.offer));
-        let bytes = client::request("POST", &address.to_string(), &path, &headers, body);
+        let bytes = client::encode_request("POST", &address.to_string(), &path, &headers, body);
         let kind = ExchangeKind::SetUp {
             id: set_up.id,
             server: set_up.server.clone(),
@@ -356,7 +356,7 @@
         {
             self.last_conn_number += 1;
             let conn = ConnId(FIRST_CONN + self.last_conn_number);
-            let (responses, exchange) = (Responses::default(), Some(exchange));
+            let (responses, exchange) = (ResponseDecoder::default(), Some(exchange));
             let (is_open, closing, stream) = (false, false, sse::Stream::default());
             let connection =
                 Connection { address, is_open, closing, responses, exchange, stream, last_used: now };
@@ -434,7 +434,7 @@
             let Some(end) = self.ends.get_mut(&id) else { continue };
             (end.attempts, end.next_attempt) = (end.attempts + 1, None);
             let address = end.address;
-            let bytes = client::request("DELETE", &address.to_string(), &end.path, &[], None);
+            let bytes = client::encode_request("DELETE", &address.to_string(), &end.path, &[], None);
             if !self.start_exchange(
                 now,
                 address,
@@ -467,7 +467,7 @@
         let Some(layer) = &resource.layer_path else { return };
         let body = serde_json::json!({"encodingId": rung.0.to_string()}).to_string();
         let body = Some(("application/json", body.as_bytes()));
-        let bytes = client::request("POST", &resource.address.to_string(), layer, &[], body);
+        let bytes = client::encode_request("POST", &resource.address.to_string(), layer, &[], body);
         let address = resource.address;
         self.start_exchange(
             now,
@@ -496,7 +496,7 @@
             None => {}
         }
         let (address, body) = (resource.address, Some((FRAGMENT, body)));
-        let bytes = client::request("PATCH", &address.to_string(), &resource.path, &headers, body);
+        let bytes = client::encode_request("PATCH", &address.to_string(), &resource.path, &headers, body);
         self.start_exchange(
             now,
             address,
@@ -547,7 +547,7 @@
             Ok(None) => {}
             Ok(Some(response)) => {
                 let exchange = connection.exchange.take();
-                if !response.keep_alive || connection.responses.begun() {
+                if !response.keep_alive || connection.responses.has_pending_data() {
                     connection.closing = true;
                     out.push(Command::Close(conn, if response.keep_alive { "unasked" } else { "done" }));
                 }
@@ -561,7 +561,7 @@
                 connection.closing = true;
                 out.push(Command::Abort(conn, error.code()));
                 let (exchange, unfinished) =
-                    (connection.exchange.take(), connection.responses.unfinished().cloned());
+                    (connection.exchange.take(), connection.responses.partial_response().cloned());
                 let address = connection.address;
                 if let Some(exchange) = exchange {
                     self.handle_broken_exchange(
@@ -627,7 +627,7 @@
             let Some(path) = target.paths.events.clone() else { continue };
             self.next_event_request.insert(server.clone(), now + EVENT_STREAM_RETRY_INTERVAL);
             let (address, headers) = (target.address, [("Accept", "text/event-stream")]);
-            let bytes = client::request("GET", &address.to_string(), &path, &headers, None);
+            let bytes = client::encode_request("GET", &address.to_string(), &path, &headers, None);
             self.start_exchange(
                 now,
                 address,
@@ -810,7 +810,7 @@
                 now,
                 connection.address,
                 exchange.kind,
-                connection.responses.unfinished(),
+                connection.responses.partial_response(),
                 unsent,
                 events,
                 out,
--- a/src/eureka.rs
+++ b/src/eureka.rs
@@ -113,12 +113,18 @@
         let (host, root) = (self.setup.address.to_string(), &self.setup.path);
         let headers = [("Accept", "application/json"), ("Connection", "close")];
         let own = |o: &Registration| format!("{root}/apps/{}/{}", o.app, o.id);
-        let plain = |method: &str, path: &str| client::request(method, &host, path, &headers, None);
+        let plain = |method: &str, path: &str| client::encode_request(method, &host, path, &headers, None);
         match (call, &self.setup.register) {
             (Call::Register, Some(o)) => {
                 let body = registration(o).to_string();
                 let path = format!("{root}/apps/{}", o.app);
-                client::request("POST", &host, &path, &headers, Some(("application/json", body.as_bytes())))
+                client::encode_request(
+                    "POST",
+                    &host,
+                    &path,
+                    &headers,
+                    Some(("application/json", body.as_bytes())),
+                )
             }
             (Call::Beat, Some(o)) => plain("PUT", &own(o)),
             (Call::Deregister, Some(o)) => plain("DELETE", &own(o)),
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,11 +1,11 @@
 //! The client's side: requests out, responses in: one whose body may come in pieces ([`Reader`]), or one after the
-//! other on a connection that is kept ([`Responses`]).
+//! other on a connection that is kept ([`ResponseDecoder`]).
 
 use super::HttpError;
-use super::head::{Chunks, Framing, Head};
+use super::head::{ChunkedDecoder, Framing, Head};
 
 /// Writes a request; a body is sent with its type.
-pub fn request(
+pub fn encode_request(
     method: &str,
     host: &str,
     path: &str,
@@ -16,8 +16,8 @@
     for (name, value) in headers {
         head.push_str(&format!("{name}: {value}\r\n"));
     }
-    if let Some((kind, bytes)) = body {
-        head.push_str(&format!("Content-Type: {kind}\r\nContent-Length: {}\r\n", bytes.len()));
+    if let Some((content_type, bytes)) = body {
+        head.push_str(&format!("Content-Type: {content_type}\r\nContent-Length: {}\r\n", bytes.len()));
     } else if method == "POST" || method == "PUT" {
         head.push_str("Content-Length: 0\r\n");
     }
@@ -30,9 +30,9 @@
 #[derive(Debug)]
 enum Body {
     Length(usize),
-    Chunked(Chunks),
+    Chunked(ChunkedDecoder),
     /// Up to the end of the connection.
-    Rest,
+    UntilClose,
 }
 
 /// Reads one response; its body may come in pieces.
@@ -41,7 +41,7 @@
     buffer: Vec<u8>,
     status: Option<u16>,
     body: Option<Body>,
-    done: bool,
+    is_complete: bool,
 }
 
 impl Reader {
@@ -50,10 +50,10 @@
         self.buffer.extend_from_slice(bytes);
         while self.body.is_none() {
             let Some((head, length)) = Head::parse(&self.buffer)? else { return Ok(()) };
-            if !head.start[0].starts_with("HTTP/1.") {
+            if !head.start_line[0].starts_with("HTTP/1.") {
                 return Err(HttpError::BadVersion);
             }
-            let status: u16 = head.start[1].parse().map_err(|_| HttpError::BadHead)?;
+            let status: u16 = head.start_line[1].parse().map_err(|_| HttpError::BadHead)?;
             let framing = head.framing()?;
             self.buffer.drain(..length);
             if (100..200).contains(&status) {
@@ -62,20 +62,20 @@
             self.status = Some(status);
             self.body = Some(match framing {
                 _ if status == 204 || status == 304 => Body::Length(0),
-                Framing::None => Body::Rest,
+                Framing::None => Body::UntilClose,
                 Framing::Length(n) => Body::Length(n),
-                Framing::Chunked => Body::Chunked(Chunks::default()),
+                Framing::Chunked => Body::Chunked(ChunkedDecoder::default()),
             });
         }
         match &mut self.body {
             Some(Body::Length(n)) => {
-                let take = (*n).min(self.buffer.len());
-                body.extend(self.buffer.drain(..take));
-                *n -= take;
-                self.done = *n == 0;
+                let taken = (*n).min(self.buffer.len());
+                body.extend(self.buffer.drain(..taken));
+                *n -= taken;
+                self.is_complete = *n == 0;
             }
-            Some(Body::Chunked(chunks)) => self.done = chunks.take(&mut self.buffer, body)?,
-            Some(Body::Rest) => body.append(&mut self.buffer),
+            Some(Body::Chunked(chunks)) => self.is_complete = chunks.decode(&mut self.buffer, body)?,
+            Some(Body::UntilClose) => body.append(&mut self.buffer),
             None => {}
         }
         Ok(())
@@ -87,8 +87,8 @@
     }
 
     /// The body has come whole; the end of the connection may tell too.
-    pub fn done(&self, closed: bool) -> bool {
-        self.done || closed && matches!(self.body, Some(Body::Rest))
+    pub fn is_complete(&self, is_closed: bool) -> bool {
+        self.is_complete || is_closed && matches!(self.body, Some(Body::UntilClose))
     }
 }
 
@@ -113,45 +113,46 @@
 
     /// Type of the body, without parameters, in lower case.
     pub fn content_type(&self) -> Option<String> {
-        let kind = self.header("content-type")?.split(';').next()?;
-        Some(kind.trim().to_ascii_lowercase())
+        let content_type = self.header("content-type")?.split(';').next()?;
+        Some(content_type.trim().to_ascii_lowercase())
     }
 }
 
 /// Finds responses in a stream of bytes.
 #[derive(Debug, Default)]
-pub struct Responses {
+pub struct ResponseDecoder {
     buffer: Vec<u8>,
-    open: Option<(Response, Body)>,
+    partial: Option<(Response, Body)>,
 }
 
-impl Responses {
+impl ResponseDecoder {
     /// Takes bytes in.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
     /// Whether anything lies here that no response has taken.
-    pub fn begun(&self) -> bool {
-        self.open.is_some() || !self.buffer.is_empty()
+    pub fn has_pending_data(&self) -> bool {
+        self.partial.is_some() || !self.buffer.is_empty()
     }
 
     /// The head of a response whose body has not come whole.
-    pub fn unfinished(&self) -> Option<&Response> {
-        self.open.as_ref().map(|(response, _)| response)
+    pub fn partial_response(&self) -> Option<&Response> {
+        self.partial.as_ref().map(|(response, _)| response)
     }
 
     /// The next whole response, or none until more bytes come; interim ones are skipped. A body may be so long.
-    pub fn next_response(&mut self, largest: usize) -> Result<Option<Response>, HttpError> {
-        while self.open.is_none() {
+    pub fn next_response(&mut self, max_body_bytes: usize) -> Result<Option<Response>, HttpError> {
+        while self.partial.is_none() {
             let Some((head, length)) = Head::parse(&self.buffer)? else { return Ok(None) };
-            let keep_alive = match head.start[0] {
-                "HTTP/1.1" => !head.names("connection", "close"),
-                "HTTP/1.0" => head.names("connection", "keep-alive"),
+            let keep_alive = match head.start_line[0] {
+                "HTTP/1.1" => !head.has_token("connection", "close"),
+                "HTTP/1.0" => head.has_token("connection", "keep-alive"),
                 _ => return Err(HttpError::BadVersion),
             };
-            let digits = head.start[1].len() == 3 && head.start[1].bytes().all(|b| b.is_ascii_digit());
-            let status = head.start[1].parse().ok().filter(|s| digits && *s >= 100);
+            let digits =
+                head.start_line[1].len() == 3 && head.start_line[1].bytes().all(|b| b.is_ascii_digit());
+            let status = head.start_line[1].parse().ok().filter(|s| digits && *s >= 100);
             let status: u16 = status.ok_or(HttpError::BadHead)?;
             let headers = head.headers().map(|(n, v)| (n.to_owned(), v.to_owned())).collect();
             let framing = head.framing()?;
@@ -166,31 +167,31 @@
                 _ if status == 204 || status == 304 => Body::Length(0),
                 // Up to the end of the connection: what is cut would look whole, so it is not believed.
                 Framing::None => return Err(HttpError::BadBody),
-                Framing::Length(n) if n > largest => return Err(HttpError::BodyTooLarge),
+                Framing::Length(n) if n > max_body_bytes => return Err(HttpError::BodyTooLarge),
                 Framing::Length(n) => Body::Length(n),
-                Framing::Chunked => Body::Chunked(Chunks::default()),
+                Framing::Chunked => Body::Chunked(ChunkedDecoder::default()),
             };
-            self.open = Some((Response { status, headers, body: Vec::new(), keep_alive }, body));
+            self.partial = Some((Response { status, headers, body: Vec::new(), keep_alive }, body));
         }
-        let Some((response, body)) = &mut self.open else { return Ok(None) };
-        let whole = match body {
+        let Some((response, body)) = &mut self.partial else { return Ok(None) };
+        let is_complete = match body {
             Body::Length(n) => {
-                let whole = self.buffer.len() >= *n;
-                if whole {
+                let is_complete = self.buffer.len() >= *n;
+                if is_complete {
                     response.body = self.buffer.drain(..*n).collect();
                 }
-                whole
+                is_complete
             }
             Body::Chunked(chunks) => {
-                let whole = chunks.take(&mut self.buffer, &mut response.body)?;
-                if response.body.len() > largest {
+                let is_complete = chunks.decode(&mut self.buffer, &mut response.body)?;
+                if response.body.len() > max_body_bytes {
                     return Err(HttpError::BodyTooLarge);
                 }
-                whole
+                is_complete
             }
-            Body::Rest => false,
+            Body::UntilClose => false,
         };
-        Ok(if whole { self.open.take().map(|(response, _)| response) } else { None })
+        Ok(if is_complete { self.partial.take().map(|(response, _)| response) } else { None })
     }
 }
 
@@ -199,27 +200,27 @@
     use super::*;
 
     #[test]
-    fn responses_come_one_after_the_other_whatever_the_pieces() {
+    fn decodes_consecutive_responses_in_pieces_of_any_size() {
         let text = b"HTTP/1.1 103 Early Hints\r\nLink: <x>\r\n\r\nHTTP/1.1 201 Created\r\nLocation: /s/1\r\nContent-Length: 3\r\n\r\nabc\
             HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n2\r\nde\r\n0\r\n\r\n";
         for size in 1..text.len() {
-            let (mut decoder, mut found) = (Responses::default(), Vec::new());
+            let (mut decoder, mut found) = (ResponseDecoder::default(), Vec::new());
             for piece in text.chunks(size) {
                 decoder.feed(piece);
                 while let Some(response) = decoder.next_response(64).unwrap() {
                     found.push(response);
                 }
             }
-            let told: Vec<_> = found.iter().map(|r| (r.status, r.body.as_slice(), r.keep_alive)).collect();
-            assert_eq!(told, [(201, &b"abc"[..], true), (200, &b"de"[..], false)], "pieces of {size}");
+            let summary: Vec<_> = found.iter().map(|r| (r.status, r.body.as_slice(), r.keep_alive)).collect();
+            assert_eq!(summary, [(201, &b"abc"[..], true), (200, &b"de"[..], false)], "pieces of {size}");
             assert_eq!(found[0].header("LOCATION"), Some("/s/1"));
-            assert!(!decoder.begun());
+            assert!(!decoder.has_pending_data());
         }
     }
 
     /// A body that ends with its connection can't be told from one that was cut.
     #[test]
-    fn what_could_have_been_cut_or_is_too_long_is_no_response() {
+    fn rejects_responses_that_are_unbounded_too_long_or_malformed() {
         for text in [
             "HTTP/1.1 201 Created\r\n\r\nv=0",
             "HTTP/1.1 201 Created\r\nContent-Length: 65\r\n\r\n",
@@ -228,7 +229,7 @@
             "HTTP/2 201 Created\r\n\r\n",
             "nonsense\r\n\r\n",
         ] {
-            let mut decoder = Responses::default();
+            let mut decoder = ResponseDecoder::default();
             decoder.feed(text.as_bytes());
             assert!(decoder.next_response(64).is_err(), "{text}");
         }
--- a/src/http/head.rs
+++ b/src/http/head.rs
@@ -1,12 +1,12 @@
 //! Heads of messages, parsed where they lie.
 
-use super::{HttpError, LARGEST_HEAD};
+use super::{HttpError, MAX_HEAD_BYTES};
 
 /// A start line and headers that still lie in the buffer they came in.
 #[derive(Clone, Debug)]
 pub struct Head<'a> {
     /// The three parts of the start line.
-    pub start: [&'a str; 3],
+    pub start_line: [&'a str; 3],
     headers: Vec<(&'a str, &'a str)>,
 }
 
@@ -14,29 +14,29 @@
     /// Finds a whole head at the front of the bytes; gives it with its length.
     pub fn parse(bytes: &'a [u8]) -> Result<Option<(Head<'a>, usize)>, HttpError> {
         let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else {
-            return if bytes.len() > LARGEST_HEAD { Err(HttpError::HeadTooLarge) } else { Ok(None) };
+            return if bytes.len() > MAX_HEAD_BYTES { Err(HttpError::HeadTooLarge) } else { Ok(None) };
         };
-        if end > LARGEST_HEAD {
+        if end > MAX_HEAD_BYTES {
             return Err(HttpError::HeadTooLarge);
         }
         let text = std::str::from_utf8(&bytes[..end]).map_err(|_| HttpError::BadHead)?;
         let mut lines = text.split("\r\n");
         let mut parts = lines.next().unwrap_or("").splitn(3, ' ');
         let mut part = || parts.next().unwrap_or("");
-        let start = [part(), part(), part()];
-        if start[0].is_empty() || start[1].is_empty() {
+        let start_line = [part(), part(), part()];
+        if start_line[0].is_empty() || start_line[1].is_empty() {
             return Err(HttpError::BadHead);
         }
         let mut headers = Vec::new();
         for line in lines {
             let (name, value) = line.split_once(':').ok_or(HttpError::BadHead)?;
-            let token = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
-            if name.is_empty() || !name.bytes().all(token) {
+            let is_token_byte = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
+            if name.is_empty() || !name.bytes().all(is_token_byte) {
                 return Err(HttpError::BadHead);
             }
             headers.push((name, value.trim()));
         }
-        Ok(Some((Head { start, headers }, end + 4)))
+        Ok(Some((Head { start_line, headers }, end + 4)))
     }
 
     /// All headers, in order.
@@ -50,7 +50,7 @@
     }
 
     /// Whether a comma-separated header names a token.
-    pub fn names(&self, header: &str, token: &str) -> bool {
+    pub fn has_token(&self, header: &str, token: &str) -> bool {
         self.header(header).is_some_and(|v| v.split(',').any(|t| t.trim().eq_ignore_ascii_case(token)))
     }
 
@@ -68,8 +68,8 @@
             (Some(_), _) => Err(HttpError::BadBody),
             (None, []) => Ok(Framing::None),
             (None, [first, rest @ ..]) => {
-                let digits = !first.is_empty() && first.bytes().all(|b| b.is_ascii_digit());
-                if !digits || rest.iter().any(|r| r != first) {
+                let is_number = !first.is_empty() && first.bytes().all(|b| b.is_ascii_digit());
+                if !is_number || rest.iter().any(|r| r != first) {
                     return Err(HttpError::BadBody);
                 }
                 first.parse().map(Framing::Length).map_err(|_| HttpError::BadBody)
@@ -91,12 +91,12 @@
 
 /// What the next line of a chunked body is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Next {
+enum Expected {
     /// The size of a chunk.
     #[default]
-    Size,
+    ChunkSize,
     /// The line feed after a chunk's data.
-    Tail,
+    DataEnd,
     /// A trailer, or the blank line that ends the body.
     Trailer,
     /// Nothing: the body has ended.
@@ -104,55 +104,55 @@
 }
 
 /// Longest line between chunks.
-const LONGEST_LINE: usize = 1024;
+const MAX_CHUNK_LINE_BYTES: usize = 1024;
 
 /// Takes chunks off the front of a stream.
 #[derive(Debug, Default)]
-pub struct Chunks {
-    left: usize,
-    next: Next,
+pub struct ChunkedDecoder {
+    chunk_bytes_left: usize,
+    expected: Expected,
 }
 
-impl Chunks {
+impl ChunkedDecoder {
     /// Moves what is whole from the input to the body; true once the last chunk and its blank line have come.
-    pub fn take(&mut self, input: &mut Vec<u8>, body: &mut Vec<u8>) -> Result<bool, HttpError> {
+    pub fn decode(&mut self, input: &mut Vec<u8>, body: &mut Vec<u8>) -> Result<bool, HttpError> {
         let mut at = 0;
-        while self.next != Next::Nothing {
+        while self.expected != Expected::Nothing {
             let rest = &input[at..];
-            if self.left > 0 {
-                let n = self.left.min(rest.len());
+            if self.chunk_bytes_left > 0 {
+                let n = self.chunk_bytes_left.min(rest.len());
                 body.extend_from_slice(&rest[..n]);
-                (self.left, at) = (self.left - n, at + n);
-                if self.left > 0 {
+                (self.chunk_bytes_left, at) = (self.chunk_bytes_left - n, at + n);
+                if self.chunk_bytes_left > 0 {
                     break;
                 }
-                self.next = Next::Tail;
+                self.expected = Expected::DataEnd;
                 continue;
             }
             let Some(end) = rest.windows(2).position(|w| w == b"\r\n") else {
-                if rest.len() > LONGEST_LINE {
+                if rest.len() > MAX_CHUNK_LINE_BYTES {
                     return Err(HttpError::BadBody);
                 }
                 break;
             };
             let line = std::str::from_utf8(&rest[..end]).map_err(|_| HttpError::BadBody)?;
             at += end + 2;
-            self.next = match self.next {
-                Next::Tail if line.is_empty() => Next::Size,
-                Next::Tail => return Err(HttpError::BadBody),
+            self.expected = match self.expected {
+                Expected::DataEnd if line.is_empty() => Expected::ChunkSize,
+                Expected::DataEnd => return Err(HttpError::BadBody),
                 // Trailers are skipped; without the blank line after them the next message would begin early.
-                Next::Trailer if line.is_empty() => Next::Nothing,
-                Next::Trailer | Next::Nothing => self.next,
-                Next::Size => {
+                Expected::Trailer if line.is_empty() => Expected::Nothing,
+                Expected::Trailer | Expected::Nothing => self.expected,
+                Expected::ChunkSize => {
                     let size = line.split(';').next().unwrap_or("").trim();
-                    let hex = !size.is_empty() && size.bytes().all(|b| b.is_ascii_hexdigit());
-                    let size = if hex { usize::from_str_radix(size, 16).ok() } else { None };
-                    self.left = size.ok_or(HttpError::BadBody)?;
-                    if self.left == 0 { Next::Trailer } else { Next::Size }
+                    let is_hex = !size.is_empty() && size.bytes().all(|b| b.is_ascii_hexdigit());
+                    let size = if is_hex { usize::from_str_radix(size, 16).ok() } else { None };
+                    self.chunk_bytes_left = size.ok_or(HttpError::BadBody)?;
+                    if self.chunk_bytes_left == 0 { Expected::Trailer } else { Expected::ChunkSize }
                 }
             };
         }
         input.drain(..at);
-        Ok(self.next == Next::Nothing)
+        Ok(self.expected == Expected::Nothing)
     }
 }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -10,14 +10,14 @@
 use std::fmt;
 
 /// No head may be larger.
-pub const LARGEST_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 /// Why bytes are not HTTP that can be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HttpError {
     /// A head that can't be read.
     BadHead,
-    /// A head larger than [`LARGEST_HEAD`].
+    /// A head larger than [`MAX_HEAD_BYTES`].
     HeadTooLarge,
     /// A body larger than allowed.
     BodyTooLarge,
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,7 +1,7 @@
 //! The server's side: requests in, responses out.
 
 use super::HttpError;
-use super::head::{Chunks, Framing, Head};
+use super::head::{ChunkedDecoder, Framing, Head};
 
 /// A whole request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -17,7 +17,7 @@
     /// A condition on the entity tag.
     pub if_match: Option<String>,
     /// The client waits for a word before it sends the body.
-    pub expects: bool,
+    pub expects_continue: bool,
     /// The connection may be used again.
     pub keep_alive: bool,
     /// The body.
@@ -29,13 +29,13 @@
 pub struct Decoder {
     buffer: Vec<u8>,
     /// A request whose head has been read, with what its body still needs.
-    open: Option<(Request, Body)>,
+    partial: Option<(Request, Body)>,
 }
 
 #[derive(Debug)]
 enum Body {
     Length(usize),
-    Chunked(Chunks),
+    Chunked(ChunkedDecoder),
 }
 
 impl Decoder {
@@ -45,60 +45,62 @@
     }
 
     /// Bytes that wait for more.
-    pub fn held(&self) -> usize {
-        self.buffer.len() + self.open.as_ref().map_or(0, |(request, _)| request.body.len())
+    pub fn buffered_bytes(&self) -> usize {
+        self.buffer.len() + self.partial.as_ref().map_or(0, |(request, _)| request.body.len())
     }
 
     /// Whether a request has begun that is not whole yet.
-    pub fn begun(&self) -> bool {
-        self.open.is_some() || !self.buffer.is_empty()
+    pub fn has_partial_request(&self) -> bool {
+        self.partial.is_some() || !self.buffer.is_empty()
     }
 
     /// Whether a client waits for a word before it sends a body that may be so long; told once for each request.
-    pub fn expects(&mut self, largest: usize) -> bool {
-        let Some((request, body)) = &mut self.open else { return false };
+    pub fn take_expect_continue(&mut self, max_body_bytes: usize) -> bool {
+        let Some((request, body)) = &mut self.partial else { return false };
         let fits = match body {
-            Body::Length(n) => *n <= largest,
+            Body::Length(n) => *n <= max_body_bytes,
             Body::Chunked(_) => true,
         };
-        fits && self.buffer.is_empty() && request.body.is_empty() && std::mem::take(&mut request.expects)
+        fits && self.buffer.is_empty()
+            && request.body.is_empty()
+            && std::mem::take(&mut request.expects_continue)
     }
 
     /// The next whole request, or none until more bytes come. A body may be so long.
-    pub fn next_request(&mut self, largest: usize) -> Result<Option<Request>, HttpError> {
-        if self.open.is_none() {
+    pub fn next_request(&mut self, max_body_bytes: usize) -> Result<Option<Request>, HttpError> {
+        if self.partial.is_none() {
             let Some((request, body, length)) = read_head(&self.buffer)? else { return Ok(None) };
             self.buffer.drain(..length);
-            self.open = Some((request, body));
+            self.partial = Some((request, body));
         }
-        let Some((request, body)) = &mut self.open else { return Ok(None) };
-        let whole = match body {
-            Body::Length(n) if *n > largest => return Err(HttpError::BodyTooLarge),
+        let Some((request, body)) = &mut self.partial else { return Ok(None) };
+        let is_complete = match body {
+            Body::Length(n) if *n > max_body_bytes => return Err(HttpError::BodyTooLarge),
             Body::Length(n) => {
-                let whole = self.buffer.len() >= *n;
-                if whole {
+                let is_complete = self.buffer.len() >= *n;
+                if is_complete {
                     request.body = self.buffer.drain(..*n).collect();
                 }
-                whole
+                is_complete
             }
             Body::Chunked(chunks) => {
-                let whole = chunks.take(&mut self.buffer, &mut request.body)?;
-                if request.body.len() > largest {
+                let is_complete = chunks.decode(&mut self.buffer, &mut request.body)?;
+                if request.body.len() > max_body_bytes {
                     return Err(HttpError::BodyTooLarge);
                 }
-                whole
+                is_complete
             }
         };
-        Ok(if whole { self.open.take().map(|(request, _)| request) } else { None })
+        Ok(if is_complete { self.partial.take().map(|(request, _)| request) } else { None })
     }
 }
 
 fn read_head(bytes: &[u8]) -> Result<Option<(Request, Body, usize)>, HttpError> {
     let Some((head, length)) = Head::parse(bytes)? else { return Ok(None) };
-    let [method, target, version] = head.start;
+    let [method, target, version] = head.start_line;
     let keep_alive = match version {
-        "HTTP/1.1" => !head.names("connection", "close"),
-        "HTTP/1.0" => head.names("connection", "keep-alive"),
+        "HTTP/1.1" => !head.has_token("connection", "close"),
+        "HTTP/1.0" => head.has_token("connection", "keep-alive"),
         v if v.starts_with("HTTP/") => return Err(HttpError::BadVersion),
         _ => return Err(HttpError::BadHead),
     };
@@ -110,7 +112,7 @@
     let body = match head.framing()? {
         Framing::None => Body::Length(0),
         Framing::Length(n) => Body::Length(n),
-        Framing::Chunked => Body::Chunked(Chunks::default()),
+        Framing::Chunked => Body::Chunked(ChunkedDecoder::default()),
     };
     let text = |name: &str| head.header(name).map(str::to_owned);
     let content_type = head.header("content-type").and_then(|t| t.split(';').next());
@@ -120,7 +122,7 @@
         content_type: content_type.map(|t| t.trim().to_ascii_lowercase()),
         origin: text("origin"),
         if_match: text("if-match"),
-        expects: version == "HTTP/1.1" && head.names("expect", "100-continue"),
+        expects_continue: version == "HTTP/1.1" && head.has_token("expect", "100-continue"),
         keep_alive,
         body: Vec::new(),
     };
@@ -162,7 +164,7 @@
 
     /// Head and body, to be written with one gathered write.
     pub fn encode(self, keep_alive: bool) -> [Vec<u8>; 2] {
-        let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
+        let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         for (name, value) in &self.headers {
             head.push_str(&format!("{name}: {value}\r\n"));
         }
@@ -174,7 +176,7 @@
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
--- a/src/net/registry.rs
+++ b/src/net/registry.rs
@@ -31,7 +31,7 @@
             let fed = reader.feed(&buffer[..n], &mut body);
             fed.map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))?;
             match reader.status() {
-                Some(status) if reader.done(n == 0) => return Ok((status, body)),
+                Some(status) if reader.is_complete(n == 0) => return Ok((status, body)),
                 _ if n == 0 || body.len() > eureka::LONGEST => {
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
--- a/src/whip/mod.rs
+++ b/src/whip/mod.rs
@@ -241,7 +241,7 @@
         }
         c.used = now;
         c.decoder.feed(bytes);
-        if c.waits.is_some() && c.decoder.held() > MOST_AHEAD {
+        if c.waits.is_some() && c.decoder.buffered_bytes() > MOST_AHEAD {
             return out.push(FrontAction::Close(conn, "too-far-ahead"));
         }
         self.requests(now, conn, nothing_ran, out);
@@ -262,14 +262,14 @@
                     self.request(now, conn, request, nothing_ran, out);
                 }
                 Ok(None) => {
-                    if c.decoder.expects(LONGEST_OFFER) {
+                    if c.decoder.take_expect_continue(LONGEST_OFFER) {
                         out.push(FrontAction::Write(
                             conn,
                             [b"HTTP/1.1 100 Continue\r\n\r\n".to_vec(), Vec::new()],
                             None,
                         ));
                     }
-                    c.begun = if c.decoder.begun() { c.begun.or(Some(now)) } else { None };
+                    c.begun = if c.decoder.has_partial_request() { c.begun.or(Some(now)) } else { None };
                     return;
                 }
                 Err(error) => {
@@ -780,7 +780,7 @@
         nothing_ran: &dyn Fn(SessionId) -> bool,
         out: &mut Vec<FrontAction>,
     ) {
-        let behind = |c: &Conn| c.waits.is_none() && !c.closing && c.decoder.held() > 0;
+        let behind = |c: &Conn| c.waits.is_none() && !c.closing && c.decoder.buffered_bytes() > 0;
         let ready: Vec<ConnId> = self.conns.iter().filter(|(_, c)| behind(c)).map(|(id, _)| *id).collect();
         for conn in ready {
             self.requests(now, conn, nothing_ran, out);
--- a/tests/cuts.rs
+++ b/tests/cuts.rs
@@ -9,7 +9,7 @@
 
 use amberspindle::api::{ListKind, Micros, SessionId};
 use amberspindle::config::Config;
-use amberspindle::http::client::Responses;
+use amberspindle::http::client::ResponseDecoder;
 use amberspindle::http::server::Decoder;
 use amberspindle::node::{Node, Protocol};
 use amberspindle::platform::links::{Command, ConnId, ConnectionEnd};
@@ -62,7 +62,7 @@
     deletes: bool,
     is_complete: bool,
     asked_at: Micros,
-    responses: Responses,
+    responses: ResponseDecoder,
     answers: Vec<u16>,
 }
 
@@ -298,7 +298,7 @@
         let bytes = if deletes { http("DELETE", &path, None) } else { http("POST", &path, Some(&offer)) };
         let cut = self.random_cut(bytes.len());
         let conn = self.node.allocate_conn_id();
-        let (asked_at, responses, answers) = (self.now, Responses::default(), Vec::new());
+        let (asked_at, responses, answers) = (self.now, ResponseDecoder::default(), Vec::new());
         let is_complete = cut.is_none_or(|cut| cut == bytes.len());
         self.clients
             .insert(conn, Client { booking, tries, deletes, is_complete, asked_at, responses, answers });
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -111,7 +111,7 @@
                 }
                 bytes.extend(b"0\r\n\r\n");
             } else {
-                bytes.extend(client::request("POST", "h", "/whip/a", &[], Some(("a/b", body))));
+                bytes.extend(client::encode_request("POST", "h", "/whip/a", &[], Some(("a/b", body))));
             }
         }
         let (mut decoder, mut read) = (server::Decoder::default(), Vec::new());
@@ -125,7 +125,7 @@
         let response = server::Response { status: 200, headers: vec![], body: body.clone() };
         let (mut reader, mut got) = (client::Reader::default(), Vec::new());
         feed_in_pieces(&response.encode(true).concat(), &cuts, |piece| reader.feed(piece, &mut got).unwrap());
-        assert_eq!((reader.status(), reader.done(false), &got), (Some(200), true, body));
+        assert_eq!((reader.status(), reader.is_complete(false), &got), (Some(200), true, body));
     });
 }
 
