--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,10 +1,10 @@
-//! The client's side: requests out, responses in: one whose body may come in pieces ([`Reader`]), or one after the
-//! other on a connection that is kept ([`ResponseDecoder`]).
+//! The client side of HTTP: encodes requests and decodes responses, either a single one whose body is passed on as it
+//! arrives ([`Reader`]) or consecutive ones on a persistent connection ([`ResponseDecoder`]).
 
 use super::HttpError;
 use super::head::{ChunkedDecoder, Framing, Head};
 
-/// Writes a request; a body is sent with its type.
+/// Encodes a request. A body is given with its content type.
 pub fn encode_request(
     method: &str,
     host: &str,
@@ -31,11 +31,11 @@
 enum Body {
     Length(usize),
     Chunked(ChunkedDecoder),
-    /// Up to the end of the connection.
+    /// The body extends to the end of the connection.
     UntilClose,
 }
 
-/// Reads one response; its body may come in pieces.
+/// Reads a single response and passes on its body as it arrives.
 #[derive(Debug, Default)]
 pub struct Reader {
     buffer: Vec<u8>,
@@ -45,7 +45,7 @@
 }
 
 impl Reader {
-    /// Takes bytes in and moves what belongs to the body there.
+    /// Reads bytes of the connection and appends those of the body to `body`. Interim responses (1xx) are skipped.
     pub fn feed(&mut self, bytes: &[u8], body: &mut Vec<u8>) -> Result<(), HttpError> {
         self.buffer.extend_from_slice(bytes);
         while self.body.is_none() {
@@ -81,44 +81,45 @@
         Ok(())
     }
 
-    /// The status, once the head has come.
+    /// Returns the status code, once the head has been read.
     pub fn status(&self) -> Option<u16> {
         self.status
     }
 
-    /// The body has come whole; the end of the connection may tell too.
+    /// Whether the whole body has been read. `is_closed` says that the connection has ended, which also ends a body
+    /// without a length.
     pub fn is_complete(&self, is_closed: bool) -> bool {
         self.is_complete || is_closed && matches!(self.body, Some(Body::UntilClose))
     }
 }
 
-/// A whole response.
+/// A complete response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// Headers as they came, in order.
+    /// The headers as received, in order.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
-    /// The connection may be used again.
+    /// Whether the connection can be reused.
     pub keep_alive: bool,
 }
 
 impl Response {
-    /// A header's value; names are compared without case.
+    /// Returns the value of the first header with this name, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
-    /// Type of the body, without parameters, in lower case.
+    /// Returns the media type of the body, without parameters, in lower case.
     pub fn content_type(&self) -> Option<String> {
         let content_type = self.header("content-type")?.split(';').next()?;
         Some(content_type.trim().to_ascii_lowercase())
     }
 }
 
-/// Finds responses in a stream of bytes.
+/// Decodes consecutive responses from a stream of bytes.
 #[derive(Debug, Default)]
 pub struct ResponseDecoder {
     buffer: Vec<u8>,
@@ -126,22 +127,23 @@
 }
 
 impl ResponseDecoder {
-    /// Takes bytes in.
+    /// Appends received bytes to the buffer.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether anything lies here that no response has taken.
+    /// Whether there are received bytes that belong to no response returned so far.
     pub fn has_pending_data(&self) -> bool {
         self.partial.is_some() || !self.buffer.is_empty()
     }
 
-    /// The head of a response whose body has not come whole.
+    /// Returns the response whose head has been read but whose body is incomplete.
     pub fn partial_response(&self) -> Option<&Response> {
         self.partial.as_ref().map(|(response, _)| response)
     }
 
-    /// The next whole response, or none until more bytes come; interim ones are skipped. A body may be so long.
+    /// Returns the next complete response, or `None` until more bytes arrive. Interim responses (1xx) are skipped. A
+    /// body longer than `max_body_bytes` is an error.
     pub fn next_response(&mut self, max_body_bytes: usize) -> Result<Option<Response>, HttpError> {
         while self.partial.is_none() {
             let Some((head, length)) = Head::parse(&self.buffer)? else { return Ok(None) };
@@ -165,7 +167,7 @@
             }
             let body = match framing {
                 _ if status == 204 || status == 304 => Body::Length(0),
-                // Up to the end of the connection: what is cut would look whole, so it is not believed.
+                // The body would extend to the end of the connection, so a truncated one would look complete.
                 Framing::None => return Err(HttpError::BadBody),
                 Framing::Length(n) if n > max_body_bytes => return Err(HttpError::BodyTooLarge),
                 Framing::Length(n) => Body::Length(n),
@@ -218,7 +220,7 @@
         }
     }
 
-    /// A body that ends with its connection can't be told from one that was cut.
+    /// A body that ends with its connection can't be distinguished from a truncated one.
     #[test]
     fn rejects_responses_that_are_unbounded_too_long_or_malformed() {
         for text in [
--- a/src/http/head.rs
+++ b/src/http/head.rs
@@ -1,8 +1,8 @@
-//! Heads of messages, parsed where they lie.
+//! Parses message heads without copying them, and decodes chunked bodies.
 
 use super::{HttpError, MAX_HEAD_BYTES};
 
-/// A start line and headers that still lie in the buffer they came in.
+/// A start line and headers, borrowed from the receive buffer.
 #[derive(Clone, Debug)]
 pub struct Head<'a> {
     /// The three parts of the start line.
@@ -11,7 +11,7 @@
 }
 
 impl<'a> Head<'a> {
-    /// Finds a whole head at the front of the bytes; gives it with its length.
+    /// Parses a head at the start of the bytes and returns it with its length, or `None` while it is incomplete.
     pub fn parse(bytes: &'a [u8]) -> Result<Option<(Head<'a>, usize)>, HttpError> {
         let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else {
             return if bytes.len() > MAX_HEAD_BYTES { Err(HttpError::HeadTooLarge) } else { Ok(None) };
@@ -39,22 +39,22 @@
         Ok(Some((Head { start_line, headers }, end + 4)))
     }
 
-    /// All headers, in order.
+    /// Returns all headers, in order.
     pub fn headers(&self) -> impl Iterator<Item = (&'a str, &'a str)> {
         self.headers.iter().copied()
     }
 
-    /// A header's value; names are compared without case.
+    /// Returns the value of the first header with this name, ignoring case.
     pub fn header(&self, name: &str) -> Option<&'a str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| *v)
     }
 
-    /// Whether a comma-separated header names a token.
+    /// Whether a comma-separated header contains a token, ignoring case.
     pub fn has_token(&self, header: &str, token: &str) -> bool {
         self.header(header).is_some_and(|v| v.split(',').any(|t| t.trim().eq_ignore_ascii_case(token)))
     }
 
-    /// How the body is framed.
+    /// Determines how the length of the body is given.
     pub fn framing(&self) -> Result<Framing, HttpError> {
         let lengths: Vec<&str> = self
             .headers
@@ -64,7 +64,7 @@
             .collect();
         match (self.header("transfer-encoding"), lengths.as_slice()) {
             (Some(coding), []) if coding.eq_ignore_ascii_case("chunked") => Ok(Framing::Chunked),
-            // Both, or another coding: two readers could disagree on where the body ends.
+            // With both headers, or with another coding, two recipients could disagree on where the body ends.
             (Some(_), _) => Err(HttpError::BadBody),
             (None, []) => Ok(Framing::None),
             (None, [first, rest @ ..]) => {
@@ -78,35 +78,35 @@
     }
 }
 
-/// How a body is framed.
+/// How the length of a body is given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// Nothing tells.
+    /// Neither a length nor a transfer coding is given.
     None,
-    /// So many bytes.
+    /// The body has this number of bytes.
     Length(usize),
-    /// In chunks.
+    /// The body is sent in chunks.
     Chunked,
 }
 
-/// What the next line of a chunked body is.
+/// What a chunked body must contain next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Expected {
     /// The size of a chunk.
     #[default]
     ChunkSize,
-    /// The line feed after a chunk's data.
+    /// The line break after the data of a chunk.
     DataEnd,
     /// A trailer, or the blank line that ends the body.
     Trailer,
-    /// Nothing: the body has ended.
+    /// Nothing, as the body has ended.
     Nothing,
 }
 
-/// Longest line between chunks.
+/// The maximum length of a line between the data of chunks: a chunk size or a trailer.
 const MAX_CHUNK_LINE_BYTES: usize = 1024;
 
-/// Takes chunks off the front of a stream.
+/// Decodes a body in chunked transfer coding.
 #[derive(Debug, Default)]
 pub struct ChunkedDecoder {
     chunk_bytes_left: usize,
@@ -114,7 +114,8 @@
 }
 
 impl ChunkedDecoder {
-    /// Moves what is whole from the input to the body; true once the last chunk and its blank line have come.
+    /// Moves the decoded data from the input to the body. Returns true once the last chunk and the blank line after it
+    /// have been read.
     pub fn decode(&mut self, input: &mut Vec<u8>, body: &mut Vec<u8>) -> Result<bool, HttpError> {
         let mut at = 0;
         while self.expected != Expected::Nothing {
@@ -140,7 +141,7 @@
             self.expected = match self.expected {
                 Expected::DataEnd if line.is_empty() => Expected::ChunkSize,
                 Expected::DataEnd => return Err(HttpError::BadBody),
-                // Trailers are skipped; without the blank line after them the next message would begin early.
+                // Trailers are skipped up to the blank line; if it were left, the next message would begin too early.
                 Expected::Trailer if line.is_empty() => Expected::Nothing,
                 Expected::Trailer | Expected::Nothing => self.expected,
                 Expected::ChunkSize => {
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 as far as the program speaks it: requests in and responses out, the other way round for the
-//! services it calls, and server-sent events. Fed bytes, no sockets.
+//! The subset of HTTP/1.1 that the program uses: a server side, a client side for the services that it calls, and
+//! server-sent events. The decoders are given bytes and do no input or output themselves.
 
 pub mod client;
 pub mod head;
@@ -9,26 +9,26 @@
 
 use std::fmt;
 
-/// No head may be larger.
+/// The maximum size of a message head.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Why bytes are not HTTP that can be read.
+/// The reason why received bytes are rejected as HTTP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HttpError {
-    /// A head that can't be read.
+    /// The head is malformed or not acceptable here.
     BadHead,
-    /// A head larger than [`MAX_HEAD_BYTES`].
+    /// The head is larger than [`MAX_HEAD_BYTES`].
     HeadTooLarge,
-    /// A body larger than allowed.
+    /// The body is larger than allowed.
     BodyTooLarge,
-    /// A length or a chunk that can't be read.
+    /// The body or its framing, such as the length or a chunk, is malformed or ambiguous.
     BadBody,
-    /// A version other than 1.0 and 1.1.
+    /// The version is neither 1.0 nor 1.1.
     BadVersion,
 }
 
 impl HttpError {
-    /// The reason code of the log line.
+    /// Returns the reason code for log lines.
     pub fn code(self) -> &'static str {
         match self {
             HttpError::BadHead => "bad-head",
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The status that a client is told.
+    /// Returns the status code of the error response to the client.
     pub fn status(self) -> u16 {
         match self {
             HttpError::BadHead | HttpError::BadBody => 400,
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,34 +1,34 @@
-//! The server's side: requests in, responses out.
+//! The server side of HTTP: decodes requests and encodes responses.
 
 use super::HttpError;
 use super::head::{ChunkedDecoder, Framing, Head};
 
-/// A whole request.
+/// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     /// The method.
     pub method: String,
-    /// The target, as it was written.
+    /// The request target, as received.
     pub target: String,
-    /// Type of the body, without parameters, in lower case.
+    /// The media type of the body, without parameters, in lower case.
     pub content_type: Option<String>,
-    /// The origin of the page that asks.
+    /// The `Origin` header: the origin of the page that sent the request.
     pub origin: Option<String>,
-    /// A condition on the entity tag.
+    /// The `If-Match` header: a condition on the entity tag.
     pub if_match: Option<String>,
-    /// The client waits for a word before it sends the body.
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
-    /// The connection may be used again.
+    /// Whether the connection can be reused.
     pub keep_alive: bool,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// Finds requests in a stream of bytes.
+/// Decodes consecutive requests from a stream of bytes.
 #[derive(Debug, Default)]
 pub struct Decoder {
     buffer: Vec<u8>,
-    /// A request whose head has been read, with what its body still needs.
+    /// A request whose head has been read, with the framing of its body.
     partial: Option<(Request, Body)>,
 }
 
@@ -39,22 +39,23 @@
 }
 
 impl Decoder {
-    /// Takes bytes in.
+    /// Appends received bytes to the buffer.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes that wait for more.
+    /// Returns the number of received bytes that belong to no request returned so far, without heads already read.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len() + self.partial.as_ref().map_or(0, |(request, _)| request.body.len())
     }
 
-    /// Whether a request has begun that is not whole yet.
+    /// Whether some bytes of a request have arrived that has not been returned yet.
     pub fn has_partial_request(&self) -> bool {
         self.partial.is_some() || !self.buffer.is_empty()
     }
 
-    /// Whether a client waits for a word before it sends a body that may be so long; told once for each request.
+    /// Whether the client waits for `100 Continue` before it sends a body that is not known to exceed `max_body_bytes`.
+    /// Returns true at most once for each request.
     pub fn take_expect_continue(&mut self, max_body_bytes: usize) -> bool {
         let Some((request, body)) = &mut self.partial else { return false };
         let fits = match body {
@@ -66,7 +67,8 @@
             && std::mem::take(&mut request.expects_continue)
     }
 
-    /// The next whole request, or none until more bytes come. A body may be so long.
+    /// Returns the next complete request, or `None` until more bytes arrive. A body longer than `max_body_bytes` is an
+    /// error.
     pub fn next_request(&mut self, max_body_bytes: usize) -> Result<Option<Request>, HttpError> {
         if self.partial.is_none() {
             let Some((request, body, length)) = read_head(&self.buffer)? else { return Ok(None) };
@@ -104,7 +106,8 @@
         v if v.starts_with("HTTP/") => return Err(HttpError::BadVersion),
         _ => return Err(HttpError::BadHead),
     };
-    // RFC 9112, 3.2: one Host, no more and no fewer, or two readers could disagree on whom it is for.
+    // RFC 9112, 3.2: exactly one Host (HTTP/1.0 may omit it); otherwise two recipients could disagree on which host the
+    // request is for.
     let hosts = head.headers().filter(|(name, _)| name.eq_ignore_ascii_case("host")).count();
     if hosts > 1 || hosts == 0 && version == "HTTP/1.1" {
         return Err(HttpError::BadHead);
@@ -134,21 +137,21 @@
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// Headers, but for those of the framing.
+    /// The headers, without `Content-Length` and `Connection`.
     pub headers: Vec<(&'static str, String)>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// With a plain line for people, where the status tells of an error.
+    /// Creates a plain-text response with one line for human readers, such as an error; an empty line gives no body.
     pub fn text(status: u16, line: &str) -> Response {
         let body = if line.is_empty() { Vec::new() } else { format!("{line}\n").into_bytes() };
         let headers = if body.is_empty() { vec![] } else { vec![("Content-Type", "text/plain".to_owned())] };
         Response { status, headers, body }
     }
 
-    /// With a problem's body (RFC 9457): a code that stays the same, and a line for people.
+    /// Creates a response with problem details (RFC 9457): a stable code and a title for human readers.
     pub fn problem(status: u16, code: &str, line: &str) -> Response {
         let body =
             serde_json::json!({"type": format!("urn:amberspindle:{code}"), "title": line, "status": status});
@@ -156,13 +159,13 @@
         Response { status, headers, body: body.to_string().into_bytes() }
     }
 
-    /// With one more header.
+    /// Adds a header.
     pub fn with(mut self, name: &'static str, value: impl ToString) -> Response {
         self.headers.push((name, value.to_string()));
         self
     }
 
-    /// Head and body, to be written with one gathered write.
+    /// Encodes the head and the body, to be written with one vectored write.
     pub fn encode(self, keep_alive: bool) -> [Vec<u8>; 2] {
         let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         for (name, value) in &self.headers {
--- a/src/http/sse.rs
+++ b/src/http/sse.rs
@@ -1,43 +1,43 @@
-//! Server-sent events.
+//! A decoder of server-sent events, for a plain stream of bytes and for the body of an HTTP response.
 
 use super::{HttpError, MAX_HEAD_BYTES, client};
 
-/// No event may be larger: a whole list of servers must fit.
+/// The maximum size of an event. A complete list of servers must fit.
 const MAX_EVENT_BYTES: usize = 4 * 1024 * 1024;
 
 /// An event with data.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
-    /// Its id, if one was given.
+    /// The id, if the event has one.
     pub id: Option<String>,
-    /// Its data.
+    /// The data, with a line feed between the lines.
     pub data: String,
 }
 
-/// How far a stream of events has come.
+/// The progress of a stream of events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// Things that came whole: the head, events, and comments between events.
+    /// The number of items received completely: the head of the response, events, and comments between events.
     pub completed_items: u64,
-    /// Events among them.
+    /// The number of events with data among them.
     pub completed_events: u64,
-    /// Bytes that came since.
+    /// The number of bytes received since the last complete item.
     pub pending_bytes: usize,
 }
 
-/// Finds events in a stream of bytes.
+/// Decodes events from a stream of bytes.
 #[derive(Debug, Default)]
 pub struct Decoder {
     buffer: Vec<u8>,
     event: Event,
     has_data: bool,
-    /// A field of the event was read.
+    /// Whether a field of the current event has been read.
     is_in_event: bool,
     progress: Progress,
 }
 
 impl Decoder {
-    /// Takes bytes in and hands over the events that are whole, also those before an error. Comments and unknown
+    /// Reads bytes and appends the complete events to `events`, including those before an error. Comments and unknown
     /// fields are skipped.
     pub fn feed(&mut self, bytes: &[u8], events: &mut Vec<Event>) -> Result<(), HttpError> {
         self.buffer.extend_from_slice(bytes);
@@ -87,18 +87,18 @@
     }
 }
 
-/// The answer that a stream of events comes in.
+/// An HTTP response whose body is a stream of events.
 #[derive(Debug, Default)]
 pub struct Stream {
     reader: client::Reader,
     decoder: Decoder,
-    /// Bytes of a head that is not whole yet.
+    /// The number of bytes received of a head that is still incomplete.
     head_bytes: usize,
 }
 
 impl Stream {
-    /// Takes bytes of the connection in and hands over the events that are whole, also those before an error. An
-    /// answer with another status than 200 is none.
+    /// Reads bytes of the connection and appends the complete events to `events`, including those before an error. A
+    /// response with a status other than 200 is an error.
     pub fn feed(&mut self, bytes: &[u8], events: &mut Vec<Event>) -> Result<(), HttpError> {
         let mut body = Vec::new();
         let read = self.reader.feed(bytes, &mut body);
@@ -110,7 +110,7 @@
         read.and(decoded)
     }
 
-    /// How far it has come.
+    /// Returns the progress of the stream; the head of the response counts as an item.
     pub fn progress(&self) -> Progress {
         let Progress { completed_items, completed_events, pending_bytes } = self.decoder.progress;
         let head = u64::from(self.reader.status().is_some());
--- a/src/http/uri.rs
+++ b/src/http/uri.rs
@@ -1,8 +1,8 @@
-//! Percent-encoding of parts of a path (RFC 3986, 2.1).
+//! Percent-encoding of path segments (RFC 3986, 2.1).
 
 use std::fmt::Write as _;
 
-/// Undoes percent-encoding; none: it is no text.
+/// Decodes percent-encoding. Returns `None` if an escape is malformed or the result is not UTF-8.
 pub fn decode(part: &str) -> Option<String> {
     let mut bytes = Vec::new();
     let mut rest = part.as_bytes();
@@ -20,7 +20,7 @@
     String::from_utf8(bytes).ok()
 }
 
-/// Encodes a part of a path.
+/// Percent-encodes a path segment.
 pub fn encode(part: &str) -> String {
     let mut out = String::new();
     for b in part.bytes() {
@@ -34,7 +34,7 @@
     out
 }
 
-/// Whether a text can stand as the path and query of a request's target.
+/// Whether a text is valid as the path and query of a request target.
 pub fn is_path(text: &str) -> bool {
     text.starts_with('/') && text.bytes().all(|b| b.is_ascii_graphic() && b != b'#')
 }
