--- a/src/platform/timings.rs
+++ b/src/platform/timings.rs
@@ -25,7 +25,7 @@
 const MIN_CLIENT_STALL: Micros = Micros(2_000_000);
 /// Lower bound of the time for which the names of removed classes are accepted, for short deadlines.
 const MIN_OLD_NAMES_ACCEPTED: Micros = Micros(2_000_000);
-/// Upper bound of the connect timeout of the notice board. With [`board::SILENCE`] and [`board::RETRY`]
+/// Upper bound of the connect timeout of the notice board. With [`board::SILENCE_TIMEOUT`] and [`board::RETRY_DELAY`]
 /// before it, a board that fell silent is heard again within the 4 s after which its events count as told.
 const MAX_BOARD_CONNECT: Micros = Micros(1_000_000);
 
