--- a/src/net/board.rs
+++ b/src/net/board.rs
@@ -26,7 +26,7 @@
             continue;
         };
         let log_end = |reason: &str| {
-            info!(event = "end", peer = %format_args!("board:{address}"), reason, last_event = shared.board.borrow().last_event());
+            info!(event = "end", peer = %format_args!("board:{address}"), reason, last = shared.board.borrow().last_event());
         };
         let address_changed = async {
             shared.board_address_changed.notified().await;
@@ -96,9 +96,9 @@
 }
 
 /// Parses bytes from the board and offers the server lists that they complete to the roster.
-fn deliver(shared: &Handle, receive: &[u8]) -> Result<(), BoardError> {
+fn deliver(shared: &Handle, bytes: &[u8]) -> Result<(), BoardError> {
     let mut updates = Vec::new();
-    let read = shared.board.borrow_mut().receive(shared.now(), receive, &mut updates);
+    let read = shared.board.borrow_mut().receive(shared.now(), bytes, &mut updates);
     for update in updates {
         files::offer(shared, Source::Board, update);
     }
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -59,7 +59,7 @@
     }
     (old.board, old.known, old.servers, old.raw) = (new.board, new.known, new.servers, new.raw);
     shared.node.borrow_mut().record_reload(true);
-    info!(event = "reloaded", last_event = shared.board.borrow().last_event());
+    info!(event = "reloaded", last = shared.board.borrow().last_event());
 }
 
 /// Handles signals for as long as the process runs: SIGHUP reloads, any other signal requests the shutdown.
