--- a/benches/roster.rs
+++ b/benches/roster.rs
@@ -45,7 +45,7 @@
 }
 
 fn roster(size: usize) -> Roster {
-    let mut roster = Roster::new(ShrinkLimit { most_dropped: 0.5, hold: Micros(0) });
+    let mut roster = Roster::new(ShrinkLimit { max_dropped_fraction: 0.5, hold: Micros(0) });
     roster.offer(Micros(0), candidate(size, 1));
     roster
 }
@@ -75,7 +75,7 @@
     let next = candidate(size, 2);
     bencher.with_inputs(|| (roster.clone(), next.clone())).bench_local_values(|(mut roster, next)| {
         let OfferOutcome::Taken(taken) = roster.offer(Micros(1), next) else { panic!("not taken") };
-        assert_eq!(taken.news.servers.len(), 1);
+        assert_eq!(taken.update.servers.len(), 1);
         (roster, taken)
     });
 }
@@ -105,7 +105,7 @@
     let roster = roster(size);
     bencher.with_inputs(|| roster.clone()).bench_local_values(|mut roster| {
         let news = ListUpdate { kind: ListKind::Changes, servers: vec![listed(size / 2, 7.0)] };
-        let verdict = roster.hear(Micros(1), Source::Registry, news);
+        let verdict = roster.apply_update(Micros(1), Source::Registry, news);
         assert!(matches!(verdict, OfferOutcome::Taken(_)));
         roster
     });
@@ -140,7 +140,7 @@
     bencher.with_inputs(|| first.clone()).bench_local_values(|mut roster| {
         let kept: Vec<Generation> = (2..=10)
             .map(|n| {
-                roster.hear(Micros(1), amberspindle::roster::Source::Registry, changed(n));
+                roster.apply_update(Micros(1), amberspindle::roster::Source::Registry, changed(n));
                 roster.current().clone()
             })
             .collect();
--- a/fuzz/tests/readers.rs
+++ b/fuzz/tests/readers.rs
@@ -2,7 +2,7 @@
 //! what the whole gives.
 
 use amberspindle::edge::load;
-use amberspindle::http::client::Responses;
+use amberspindle::http::client::ResponseDecoder;
 use amberspindle::http::server;
 use amberspindle::http::uri;
 use amberspindle::message::binary;
@@ -64,7 +64,7 @@
 fn responses() {
     check!().with_iterations(ROUNDS).for_each(|bytes: &[u8]| {
         let read = |pieces: &[&[u8]]| {
-            let mut decoder = Responses::default();
+            let mut decoder = ResponseDecoder::default();
             read(pieces, |piece| {
                 piece.into_iter().for_each(|piece| decoder.feed(piece));
                 let response = decoder.next_response(LARGEST);
@@ -101,7 +101,7 @@
             assert!(!findings.0.is_empty(), "a refusal has a reason");
         }
         for form in ["TEXT ", "JSON "] {
-            let load = load::report(&format!("{form}{text}"));
+            let load = load::parse_report(&format!("{form}{text}"));
             assert!(load.util.is_none_or(|u| (0.0..=1.0).contains(&u)));
         }
         let part = uri::encode(&text);
--- a/src/broker/late.rs
+++ b/src/broker/late.rs
@@ -1,51 +1,53 @@
-//! Attempts that were given up: a late answer to one of them must not play on.
+//! Withdrawn attempts. If one of them is answered late, the session that it set up has to be released.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::api::{Micros, ServerId, SessionId};
 
-/// A late answer is released if it comes within this.
-const KEPT: Micros = Micros(30_000_000);
-/// No more are remembered: clients may ask and withdraw by the thousand.
-const MOST: usize = 4096;
+/// How long after the withdrawal a late answer is recognized and released.
+const LATE_ANSWER_WINDOW: Micros = Micros(30_000_000);
+/// Bounds the memory for withdrawn attempts, as clients may request and withdraw by the thousand.
+const MAX_WITHDRAWN_ATTEMPTS: usize = 4096;
 
 type Attempt = (SessionId, ServerId);
 
-/// What is remembered of them, the oldest first.
+/// The recently withdrawn attempts, in the order of their expiry.
 #[derive(Debug, Default)]
-pub struct Late {
-    until: BTreeMap<Attempt, Micros>,
-    order: VecDeque<(Micros, Attempt)>,
+pub struct WithdrawnAttempts {
+    expires_at: BTreeMap<Attempt, Micros>,
+    by_expiry: VecDeque<(Micros, Attempt)>,
 }
 
-impl Late {
-    /// An attempt is given up.
-    pub fn expect(&mut self, now: Micros, id: SessionId, server: &ServerId) {
-        let (until, attempt) = (now + KEPT, (id, server.clone()));
-        self.until.insert(attempt.clone(), until);
-        self.order.push_back((until, attempt));
-        while self.order.front().is_some_and(|(until, _)| *until <= now) || self.order.len() > MOST {
-            let Some((until, attempt)) = self.order.pop_front() else { return };
-            if self.until.get(&attempt) == Some(&until) {
-                self.until.remove(&attempt);
+impl WithdrawnAttempts {
+    /// Records a withdrawn attempt and drops those that have expired or exceed the limit.
+    pub fn insert(&mut self, now: Micros, id: SessionId, server: &ServerId) {
+        let (expires_at, attempt) = (now + LATE_ANSWER_WINDOW, (id, server.clone()));
+        self.expires_at.insert(attempt.clone(), expires_at);
+        self.by_expiry.push_back((expires_at, attempt));
+        while self.by_expiry.front().is_some_and(|(expires_at, _)| *expires_at <= now)
+            || self.by_expiry.len() > MAX_WITHDRAWN_ATTEMPTS
+        {
+            let Some((expires_at, attempt)) = self.by_expiry.pop_front() else { return };
+            if self.expires_at.get(&attempt) == Some(&expires_at) {
+                self.expires_at.remove(&attempt);
             }
         }
     }
 
-    /// Whether an attempt of a session was given up lately.
-    pub fn knows(&self, now: Micros, id: SessionId) -> bool {
-        let of_session = self.until.range((id, ServerId::default())..);
-        of_session.take_while(|((of, _), _)| *of == id).any(|(_, until)| now < *until)
+    /// Whether an attempt of the session was withdrawn recently.
+    pub fn has_session(&self, now: Micros, id: SessionId) -> bool {
+        let of_session = self.expires_at.range((id, ServerId::default())..);
+        of_session.take_while(|((of, _), _)| *of == id).any(|(_, expires_at)| now < *expires_at)
     }
 
-    /// An answer has come that nobody waits for; gives whether it is to such an attempt. It is forgotten.
-    pub fn came(&mut self, now: Micros, id: SessionId, server: &ServerId) -> bool {
-        self.until.remove(&(id, server.clone())).is_some_and(|until| now < until)
+    /// Removes the attempt that an unexpected answer belongs to, and returns whether it was withdrawn recently.
+    pub fn take_late_answer(&mut self, now: Micros, id: SessionId, server: &ServerId) -> bool {
+        self.expires_at.remove(&(id, server.clone())).is_some_and(|expires_at| now < expires_at)
     }
 
-    /// Attempts that are remembered.
+    /// The number of tracked attempts.
     pub fn tracked_entries(&self) -> usize {
-        self.order.len()
+        self.by_expiry.len()
     }
 }
 
@@ -53,20 +55,23 @@
 mod tests {
     use super::*;
 
-    /// Guards against memory that grows with every set-up that is withdrawn.
+    /// Guards against unbounded memory growth when clients withdraw many set-ups.
     #[test]
-    fn the_newest_are_remembered_for_a_while_and_answer_once() {
-        let (mut late, server) = (Late::default(), ServerId::new("s"));
+    fn keeps_newest_attempts_until_expiry_and_matches_each_once() {
+        let (mut withdrawn, server) = (WithdrawnAttempts::default(), ServerId::new("s"));
         for n in 0..10_000 {
-            late.expect(Micros(n), SessionId(n), &server);
+            withdrawn.insert(Micros(n), SessionId(n), &server);
         }
-        assert_eq!(late.tracked_entries(), MOST);
+        assert_eq!(withdrawn.tracked_entries(), MAX_WITHDRAWN_ATTEMPTS);
         let now = Micros(10_000);
-        assert!(!late.came(now, SessionId(1), &server) && !late.came(now, SessionId(10_000), &server));
-        assert!(late.came(now, SessionId(9_999), &server));
-        assert!(!late.came(now, SessionId(9_999), &server));
-        assert!(!late.came(now + KEPT, SessionId(9_998), &server));
-        late.expect(now + KEPT, SessionId(1), &server);
-        assert_eq!(late.tracked_entries(), 1);
+        assert!(
+            !withdrawn.take_late_answer(now, SessionId(1), &server)
+                && !withdrawn.take_late_answer(now, SessionId(10_000), &server)
+        );
+        assert!(withdrawn.take_late_answer(now, SessionId(9_999), &server));
+        assert!(!withdrawn.take_late_answer(now, SessionId(9_999), &server));
+        assert!(!withdrawn.take_late_answer(now + LATE_ANSWER_WINDOW, SessionId(9_998), &server));
+        withdrawn.insert(now + LATE_ANSWER_WINDOW, SessionId(1), &server);
+        assert_eq!(withdrawn.tracked_entries(), 1);
     }
 }
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -1,9 +1,10 @@
-//! Edge servers that speak WHIP or WHEP: attempts go out as POSTs, sessions end by DELETE on what `Location` named.
-//! A state machine of bytes; the driver opens the connections that it asks for and keeps the time.
+//! HTTP client for edge servers that speak WHIP or WHEP. An attempt is sent as a POST; a session is ended by a DELETE
+//! on the resource that the `Location` header named. This is a state machine over bytes that does no I/O: the driver
+//! opens the connections that it requests and supplies the time.
 //!
-//! Each connection carries one exchange at a time. An attempt that is given up can't be called back over HTTP: its
-//! connection is read on, and a session that it still makes is ended at once. Ends are repeated until they are heard,
-//! on new connections too, within bounds.
+//! Each connection carries one exchange at a time. HTTP can't cancel an attempt that has been sent, so its connection
+//! is still read after the attempt is given up, and a session that it creates after all is ended at once. A DELETE is
+//! repeated until the server confirms it, also on new connections, up to a limit.
 
 pub mod load;
 pub mod news;
@@ -14,111 +15,118 @@
 
 use crate::api::{Load, Micros, Note, Rung, ServerId, ServerState, SessionId, Status, Text};
 use crate::broker::{Description, SetUp};
-use crate::http::client::{self, Response, Responses};
+use crate::http::client::{self, Response, ResponseDecoder};
 use crate::http::sse;
 use crate::http::uri::encode;
 use crate::platform::links::{Command, ConnId, ConnectionEnd};
 use crate::roster::Paths;
 use news::EdgeEvent;
-use proof::{Outcome, Proof, proof};
+use proof::{Outcome, Proof, classify};
 
-/// Numbers of these connections lie above those of all others.
+/// The connection numbers of this pool lie above those of all other connections.
 const FIRST_CONN: u64 = 1 << 63;
-/// Connections to one server: each set-up that waits for its answer takes one.
-const MOST_CONNS: usize = 32;
-/// Exchanges that wait for a connection to one server; what comes beyond that is turned away, nothing has run.
-const MOST_WAITING: usize = 256;
-/// A connection that was idle for longer carries no new exchange: servers commonly close after 5 s, and a close that
-/// crosses a set-up would leave it unproved.
-const FRESH: Micros = Micros(3_000_000);
-/// An attempt that was given up is waited for so long; then its connection is cut.
-const LATE: Micros = Micros(30_000_000);
-/// An end, a change of rung or a PATCH that has no answer after so long has failed.
-const PATIENCE: Micros = Micros(5_000_000);
-/// An end is told so often at most; the pause between two doubles from the first to the longest.
-const MOST_TRIES: u32 = 8;
-const FIRST_PAUSE: Micros = Micros(250_000);
-const LONGEST_PAUSE: Micros = Micros(8_000_000);
-/// A session whose answer was lost may be made after the first tries: so often it must be found missing.
-const UNSURE_TRIES: u32 = 4;
-/// A stream of events that says nothing for so long, not even a comment, is asked for anew.
-const SILENCE: Micros = Micros(30_000_000);
-/// Time between tries to open one.
-const LISTEN_EVERY: Micros = Micros(2_000_000);
-/// Ends that are remembered at most.
-const MOST_ENDS: usize = 4096;
-/// Longest body of an answer: it must fit into one message towards the other front too.
-const LONGEST_BODY: usize = 15 * 1024;
-/// `Link` headers of one answer that are passed on, and their length.
-const MOST_LINKS: usize = 8;
-const LONGEST_LINK: usize = 1024;
-
-/// The type of a trickle ICE fragment (RFC 8840).
+/// The most connections to one server. Each set-up that waits for its answer occupies one.
+const MAX_CONNECTIONS_PER_SERVER: usize = 32;
+/// The most exchanges that wait for a connection to one server. Further ones are refused before anything was sent.
+const MAX_WAITING_EXCHANGES: usize = 256;
+/// A connection that was idle for this long carries no new exchange. Servers commonly close idle connections after
+/// 5 s, and a close that crosses a set-up on the way would leave it unknown whether the set-up ran.
+const MAX_IDLE: Micros = Micros(3_000_000);
+/// How long the answer to a set-up that was given up is awaited before its connection is aborted.
+const ABANDONED_SET_UP_TIMEOUT: Micros = Micros(30_000_000);
+/// A DELETE, a change of rung or a PATCH without an answer after this time has failed.
+const EXCHANGE_TIMEOUT: Micros = Micros(5_000_000);
+/// The most times that a DELETE is sent.
+const MAX_END_ATTEMPTS: u32 = 8;
+/// The delay before the second DELETE. It doubles with each further attempt, up to the longest delay.
+const FIRST_END_RETRY_DELAY: Micros = Micros(250_000);
+/// The longest delay between two DELETE attempts.
+const MAX_END_RETRY_DELAY: Micros = Micros(8_000_000);
+/// How many DELETE attempts a session whose set-up answer was lost needs before "not found" ends it: the server may
+/// create the session after the first attempts.
+const MIN_UNCONFIRMED_END_ATTEMPTS: u32 = 4;
+/// An event stream that carries no bytes for this long, not even a comment, is aborted and requested again.
+const EVENT_STREAM_TIMEOUT: Micros = Micros(30_000_000);
+/// The time between two requests for the event stream of a server.
+const EVENT_STREAM_RETRY_INTERVAL: Micros = Micros(2_000_000);
+/// The most sessions whose DELETE is pending.
+const MAX_PENDING_ENDS: usize = 4096;
+/// The longest body of an answer. It must also fit into one message of the platform protocol,
+/// for clients that use it.
+const MAX_BODY_BYTES: usize = 15 * 1024;
+/// The most `Link` values of one answer that are passed on.
+const MAX_ICE_LINKS: usize = 8;
+/// The longest `Link` value that is read.
+const MAX_LINK_BYTES: usize = 1024;
+
+/// The media type of a trickle ICE fragment (RFC 8840).
 pub const FRAGMENT: &str = "application/trickle-ice-sdpfrag";
-const LAYER: &str = "urn:ietf:params:whep:ext:core:layer";
+/// The link relation of the path at which a layer is selected (WHEP extension).
+const LAYER_RELATION: &str = "urn:ietf:params:whep:ext:core:layer";
 
-/// What is heard of a server.
+/// What the pool reports about servers and their sessions.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PoolEvent {
-    /// The session stands there.
+    /// The session is established at the server; carries the SDP answer.
     Answer(SessionId, ServerId, Description),
-    /// The attempt ended.
+    /// The attempt or the session ended with this status and load report.
     Ended(SessionId, ServerId, Status, Load),
-    /// A note on a session that stands.
+    /// A load note for an established session.
     Note(SessionId, ServerId, Note),
-    /// It turned a connection down.
+    /// The server refused a connection.
     Refused(ServerId),
-    /// A client's PATCH is answered; none: the server gave no answer.
+    /// The response to a client's PATCH, or `None` if the server gave none.
     Patched(ConnId, SessionId, Option<Response>),
     /// A line for the log.
     Log(String),
 }
 
-/// A server's place.
+/// The address and the URL paths of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Target {
     address: SocketAddr,
     paths: Paths,
 }
 
-/// A session at a server.
+/// The HTTP resource of an established session.
 #[derive(Clone, Debug)]
 struct Resource {
     server: ServerId,
     address: SocketAddr,
     path: String,
-    tag: Option<String>,
-    /// Where a layer is chosen, if the server told.
-    layer: Option<String>,
-    /// `Link` headers that name ICE servers.
-    ice: Vec<String>,
+    etag: Option<String>,
+    /// The path at which a layer is selected, if the server announced one.
+    layer_path: Option<String>,
+    /// The `Link` header values that name ICE servers.
+    ice_links: Vec<String>,
 }
 
-/// A session that is to be ended.
+/// A session whose DELETE the server has not confirmed yet.
 #[derive(Clone, Debug)]
-struct End {
+struct PendingEnd {
     address: SocketAddr,
     path: String,
-    tries: u32,
-    /// No answer told of its place: the server may not have made it yet, so that "not there" is no end.
-    unsure: bool,
-    /// The next try; none: one is out.
-    at: Option<Micros>,
+    attempts: u32,
+    /// Whether no answer named the resource. The server may not have created it yet, so "not found" does not confirm
+    /// the end.
+    creation_unconfirmed: bool,
+    /// When the next attempt is due, or `None` while one is under way.
+    next_attempt: Option<Micros>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Work {
+enum ExchangeKind {
     SetUp {
         id: SessionId,
         server: ServerId,
         path: String,
-        /// Where its session can be ended though no answer told of its place.
-        end: Option<String>,
+        /// The path at which its session can be ended even if no answer named the resource.
+        end_path: Option<String>,
         given_up: Option<Micros>,
     },
     End(SessionId),
-    Rate,
-    /// Its stream of events.
+    RungChange,
+    /// The event stream of a server.
     Events(ServerId),
     Patch {
         from: ConnId,
@@ -128,58 +136,59 @@
 
 #[derive(Debug)]
 struct Exchange {
-    work: Work,
+    kind: ExchangeKind,
     bytes: Vec<u8>,
-    at: Micros,
+    sent_at: Micros,
 }
 
 impl Exchange {
-    /// Whether it is a session's set-up.
-    fn sets_up(&self, id: SessionId) -> bool {
-        matches!(&self.work, Work::SetUp { id: of, .. } if *of == id)
+    /// Whether this is the set-up of the given session.
+    fn is_set_up_of(&self, id: SessionId) -> bool {
+        matches!(&self.kind, ExchangeKind::SetUp { id: of, .. } if *of == id)
     }
 }
 
 #[derive(Debug)]
-struct Conn {
+struct Connection {
     address: SocketAddr,
-    open: bool,
+    is_open: bool,
     closing: bool,
-    responses: Responses,
+    responses: ResponseDecoder,
     exchange: Option<Exchange>,
     stream: sse::Stream,
-    used: Micros,
+    last_used: Micros,
 }
 
-/// All connections to servers of this kind.
+/// All connections to servers that speak WHIP or WHEP, with their sessions.
 #[derive(Debug, Default)]
 pub struct Pool {
     targets: BTreeMap<ServerId, Target>,
-    conns: BTreeMap<ConnId, Conn>,
+    conns: BTreeMap<ConnId, Connection>,
     waiting: BTreeMap<SocketAddr, VecDeque<Exchange>>,
     resources: BTreeMap<SessionId, Resource>,
-    ends: BTreeMap<SessionId, End>,
-    /// When a server's events are asked for next.
-    listen_at: BTreeMap<ServerId, Micros>,
-    next: u64,
+    ends: BTreeMap<SessionId, PendingEnd>,
+    /// The earliest time at which the event stream of a server is requested again.
+    next_event_request: BTreeMap<ServerId, Micros>,
+    last_conn_number: u64,
 }
 
-/// The path of a resource: of an absolute URL too, as it lies on the server that made it; other servers are not asked.
-fn resource_path(location: &str, asked: &str) -> Option<String> {
-    let clean = |p: &str| p.bytes().all(|b| b.is_ascii_graphic());
+/// Returns the path of the resource that a `Location` or `Link` names. Of an absolute URL only the path is used: the
+/// resource is always requested from the server that created it, never from another host.
+fn resource_path(location: &str, request_path: &str) -> Option<String> {
+    let is_valid = |p: &str| p.bytes().all(|b| b.is_ascii_graphic());
     let path = match location.split_once("://") {
         Some((_, rest)) => format!("/{}", rest.split_once('/').map_or("", |(_, path)| path)),
         None if location.starts_with('/') => location.to_owned(),
         None => {
-            let folder = asked.split('?').next()?.rsplit_once('/').map_or("", |(folder, _)| folder);
+            let folder = request_path.split('?').next()?.rsplit_once('/').map_or("", |(folder, _)| folder);
             format!("{folder}/{location}")
         }
     };
     let path = path.split('#').next().unwrap_or("").to_owned();
-    (!location.is_empty() && path.len() > 1 && clean(&path)).then_some(path)
+    (!location.is_empty() && path.len() > 1 && is_valid(&path)).then_some(path)
 }
 
-/// Whether a `Link` value has a relation.
+/// Whether a `Link` value has the given relation type.
 fn has_rel(link: &str, rel: &str) -> bool {
     let params = link.split(';').skip(1).filter_map(|p| p.split_once('='));
     let mut rels = params.filter(|(n, _)| n.trim().eq_ignore_ascii_case("rel")).map(|(_, v)| v.trim());
@@ -187,8 +196,8 @@
 }
 
 impl Pool {
-    /// Notes where a server is. Gives whether it was elsewhere before: then it is another one, and set-ups that are
-    /// under way to the old one are cut.
+    /// Records the address and paths of a listed server. Returns whether its address has changed: then it is another
+    /// server, and connections with set-ups under way to the old address are aborted.
     pub fn listed(
         &mut self,
         server: &ServerId,
@@ -204,70 +213,76 @@
         let target = Target { address, paths: paths.clone() };
         let moved =
             self.targets.insert(server.clone(), target).is_some_and(|before| before.address != address);
-        let old = |c: &Conn| match &c.exchange {
-            Some(Exchange { work: Work::SetUp { server: of, .. }, .. }) => {
-                of == server && c.address != address
+        let carries_set_up_to_old_address = |connection: &Connection| match &connection.exchange {
+            Some(Exchange { kind: ExchangeKind::SetUp { server: of, .. }, .. }) => {
+                of == server && connection.address != address
             }
             _ => false,
         };
-        for (conn, c) in self.conns.iter_mut().filter(|(_, c)| moved && !c.closing && old(c)) {
-            c.closing = true;
+        for (conn, connection) in self.conns.iter_mut().filter(|(_, connection)| {
+            moved && !connection.closing && carries_set_up_to_old_address(connection)
+        }) {
+            connection.closing = true;
             out.push(Command::Abort(*conn, "moved"));
         }
         moved
     }
 
-    /// A server has left the list. What is under way there is read to its end.
+    /// Removes a server that has left the list. Exchanges under way there are still read to their end.
     pub fn forget(&mut self, server: &ServerId) {
         self.targets.remove(server);
     }
 
-    /// Whether a server is one of these.
-    pub fn serves(&self, server: &ServerId) -> bool {
+    /// Whether a server belongs to this pool.
+    pub fn knows(&self, server: &ServerId) -> bool {
         self.targets.contains_key(server)
     }
 
-    /// The server that a set-up on a connection is for, if the set-up is still wanted there.
+    /// Returns the server to which a connection carries the set-up of a session, unless the set-up was given up.
     pub fn carries(&self, conn: ConnId, of: SessionId) -> Option<&ServerId> {
-        match &self.conns.get(&conn)?.exchange.as_ref()?.work {
-            Work::SetUp { id, server, given_up: None, .. } if *id == of => Some(server),
+        match &self.conns.get(&conn)?.exchange.as_ref()?.kind {
+            ExchangeKind::SetUp { id, server, given_up: None, .. } if *id == of => Some(server),
             _ => None,
         }
     }
 
-    /// Whether it is one of these connections.
+    /// Whether a connection belongs to this pool.
     pub fn has(&self, conn: ConnId) -> bool {
         self.conns.contains_key(&conn)
     }
 
-    /// Whether a session stands, or is set up, at a server of this kind.
+    /// Whether a session is established, or being set up, at a server of this pool.
     pub fn holds(&self, id: SessionId) -> bool {
-        let mut out = self.conns.values().filter_map(|c| c.exchange.as_ref());
-        self.resources.contains_key(&id) || out.any(|e| e.sets_up(id)) || self.queued(id)
+        let mut exchanges = self.conns.values().filter_map(|connection| connection.exchange.as_ref());
+        self.resources.contains_key(&id) || exchanges.any(|e| e.is_set_up_of(id)) || self.is_queued(id)
     }
 
-    /// Whether a set-up waits for a connection.
-    fn queued(&self, id: SessionId) -> bool {
-        self.waiting.values().flatten().any(|e| e.sets_up(id))
+    /// Whether a set-up is queued for a connection.
+    fn is_queued(&self, id: SessionId) -> bool {
+        self.waiting.values().flatten().any(|e| e.is_set_up_of(id))
     }
 
-    /// Whether a set-up still waits for its connection, so that it certainly has not run.
+    /// Whether a set-up still waits for its connection to open, so that it certainly has not run.
     pub fn waits(&self, id: SessionId) -> bool {
-        let mut unopened = self.conns.values().filter(|c| !c.open).filter_map(|c| c.exchange.as_ref());
-        unopened.any(|e| e.sets_up(id)) || self.queued(id)
+        let mut unopened = self
+            .conns
+            .values()
+            .filter(|connection| !connection.is_open)
+            .filter_map(|connection| connection.exchange.as_ref());
+        unopened.any(|e| e.is_set_up_of(id)) || self.is_queued(id)
     }
 
-    /// `Link` headers that name ICE servers, of the answer that a session had.
-    pub fn ice(&self, id: SessionId) -> &[String] {
-        self.resources.get(&id).map_or(&[], |r| &r.ice)
+    /// Returns the `Link` header values that name ICE servers, from the answer to the set-up of a session.
+    pub fn ice_links(&self, id: SessionId) -> &[String] {
+        self.resources.get(&id).map_or(&[], |r| &r.ice_links)
     }
 
-    /// Ends that are not heard yet.
-    pub fn ending(&self) -> usize {
+    /// Returns the number of sessions whose DELETE is not confirmed yet.
+    pub fn pending_ends(&self) -> usize {
         self.ends.len()
     }
 
-    /// What is remembered, at its fullest place.
+    /// Returns the number of entries in the largest table of the pool.
     pub fn tracked_entries(&self) -> usize {
         let waiting = self.waiting.values().map(VecDeque::len).sum();
         [self.targets.len(), self.conns.len(), self.resources.len(), self.ends.len(), waiting]
@@ -276,498 +291,603 @@
             .unwrap_or(0)
     }
 
-    /// Sends a set-up. An error tells how the attempt ended at once: nothing ran.
+    /// Sends a set-up. An error is the status of an attempt that ended at once, without anything having run.
     pub fn set_up(
         &mut self,
         now: Micros,
-        s: &SetUp,
+        set_up: &SetUp,
         class: &str,
         out: &mut Vec<Command>,
     ) -> Result<(), Status> {
-        let Some(target) = self.targets.get(&s.server) else { return Err(Status::ConnectFailed) };
-        let (address, rung) = (target.address, s.rung.unwrap_or_default().0.to_string());
+        let Some(target) = self.targets.get(&set_up.server) else { return Err(Status::ConnectFailed) };
+        let (address, rung) = (target.address, set_up.rung.unwrap_or_default().0.to_string());
         let fill = |path: &Text| {
-            path.replace("{title}", &encode(&s.title))
+            path.replace("{title}", &encode(&set_up.title))
                 .replace("{class}", &encode(class))
                 .replace("{rung}", &rung)
-                .replace("{session}", &format!("{:016x}", s.id.0))
+                .replace("{session}", &format!("{:016x}", set_up.id.0))
         };
-        let (path, end) = (fill(&target.paths.set_up), target.paths.end.as_ref().map(fill));
+        let (path, end_path) = (fill(&target.paths.set_up), target.paths.end.as_ref().map(fill));
         let headers = [("Accept", "application/sdp")];
-        let body = Some(("application/sdp", &*s.offer));
-        let bytes = client::request("POST", &address.to_string(), &path, &headers, body);
-        let work = Work::SetUp { id: s.id, server: s.server.clone(), path, end, given_up: None };
-        if self.start(now, address, Exchange { work, bytes, at: now }, out) {
+        let body = Some(("application/sdp", &*set_up.offer));
+        let bytes = client::encode_request("POST", &address.to_string(), &path, &headers, body);
+        let kind = ExchangeKind::SetUp {
+            id: set_up.id,
+            server: set_up.server.clone(),
+            path,
+            end_path,
+            given_up: None,
+        };
+        if self.start_exchange(now, address, Exchange { kind, bytes, sent_at: now }, out) {
             Ok(())
         } else {
             Err(Status::Moot)
         }
     }
 
-    /// Puts an exchange on a connection, or lets it wait for one; false if too many wait.
-    fn start(
+    /// Sends an exchange on an idle connection, opens a new one for it, or queues it. Returns false if the queue is
+    /// full.
+    fn start_exchange(
         &mut self,
         now: Micros,
         address: SocketAddr,
         exchange: Exchange,
         out: &mut Vec<Command>,
     ) -> bool {
-        let idle = |c: &Conn| {
-            c.address == address && c.open && !c.closing && c.exchange.is_none() && now - c.used < FRESH
+        let is_idle = |connection: &Connection| {
+            connection.address == address
+                && connection.is_open
+                && !connection.closing
+                && connection.exchange.is_none()
+                && now - connection.last_used < MAX_IDLE
         };
-        let free = self.conns.iter().filter(|(_, c)| idle(c)).max_by_key(|(_, c)| c.used).map(|(id, _)| *id);
-        if let Some(conn) = free {
-            self.put(now, conn, exchange, out);
+        let idle_conn = self
+            .conns
+            .iter()
+            .filter(|(_, connection)| is_idle(connection))
+            .max_by_key(|(_, connection)| connection.last_used)
+            .map(|(id, _)| *id);
+        if let Some(conn) = idle_conn {
+            self.send_exchange(now, conn, exchange, out);
             return true;
         }
-        if self.conns.values().filter(|c| c.address == address).count() < MOST_CONNS {
-            self.next += 1;
-            let conn = ConnId(FIRST_CONN + self.next);
-            let (responses, exchange) = (Responses::default(), Some(exchange));
-            let (open, closing, stream) = (false, false, sse::Stream::default());
-            let dialled = Conn { address, open, closing, responses, exchange, stream, used: now };
-            self.conns.insert(conn, dialled);
+        if self.conns.values().filter(|connection| connection.address == address).count()
+            < MAX_CONNECTIONS_PER_SERVER
+        {
+            self.last_conn_number += 1;
+            let conn = ConnId(FIRST_CONN + self.last_conn_number);
+            let (responses, exchange) = (ResponseDecoder::default(), Some(exchange));
+            let (is_open, closing, stream) = (false, false, sse::Stream::default());
+            let connection =
+                Connection { address, is_open, closing, responses, exchange, stream, last_used: now };
+            self.conns.insert(conn, connection);
             out.push(Command::Dial(conn, address));
             return true;
         }
         let waiting = self.waiting.entry(address).or_default();
-        let room = waiting.len() < MOST_WAITING;
-        if room {
+        let has_room = waiting.len() < MAX_WAITING_EXCHANGES;
+        if has_room {
             waiting.push_back(exchange);
         }
-        room
+        has_room
     }
 
-    fn put(&mut self, now: Micros, conn: ConnId, mut exchange: Exchange, out: &mut Vec<Command>) {
-        let Some(c) = self.conns.get_mut(&conn) else { return };
-        let tag = if let Work::SetUp { id, .. } = &exchange.work { Some(*id) } else { None };
-        out.push(Command::Write(conn, std::mem::take(&mut exchange.bytes), tag));
-        (exchange.at, c.used) = (now, now);
-        c.exchange = Some(exchange);
+    fn send_exchange(&mut self, now: Micros, conn: ConnId, mut exchange: Exchange, out: &mut Vec<Command>) {
+        let Some(connection) = self.conns.get_mut(&conn) else { return };
+        let session = if let ExchangeKind::SetUp { id, .. } = &exchange.kind { Some(*id) } else { None };
+        out.push(Command::Write(conn, std::mem::take(&mut exchange.bytes), session));
+        (exchange.sent_at, connection.last_used) = (now, now);
+        connection.exchange = Some(exchange);
     }
 
-    /// Gives a set-up up. One that still waits never leaves; one that is out is read on.
+    /// Gives up a set-up. One that still waits is never sent; the answer to one that was sent is still read.
     pub fn give_up(&mut self, now: Micros, id: SessionId, out: &mut Vec<Command>) {
-        let mine = |e: &Exchange| matches!(&e.work, Work::SetUp { id: of, given_up: None, .. } if *of == id);
+        let is_this_set_up =
+            |e: &Exchange| matches!(&e.kind, ExchangeKind::SetUp { id: of, given_up: None, .. } if *of == id);
         for waiting in self.waiting.values_mut() {
-            waiting.retain(|e| !mine(e));
+            waiting.retain(|e| !is_this_set_up(e));
         }
-        let found = self.conns.iter_mut().find(|(_, c)| c.exchange.as_ref().is_some_and(mine));
-        let Some((conn, c)) = found else { return };
-        if !c.open {
-            c.closing = true;
-            c.exchange = None;
+        let found = self
+            .conns
+            .iter_mut()
+            .find(|(_, connection)| connection.exchange.as_ref().is_some_and(is_this_set_up));
+        let Some((conn, connection)) = found else { return };
+        if !connection.is_open {
+            connection.closing = true;
+            connection.exchange = None;
             return out.push(Command::Abort(*conn, "given-up"));
         }
-        if let Some(Exchange { work: Work::SetUp { given_up, .. }, .. }) = &mut c.exchange {
+        if let Some(Exchange { kind: ExchangeKind::SetUp { given_up, .. }, .. }) = &mut connection.exchange {
             *given_up = Some(now);
         }
     }
 
-    /// Ends a session that stands.
+    /// Ends an established session.
     pub fn release(&mut self, now: Micros, id: SessionId, out: &mut Vec<Command>) {
         if let Some(resource) = self.resources.remove(&id) {
-            self.end(now, id, resource.address, resource.path, false, out);
+            self.queue_end(now, id, resource.address, resource.path, false, out);
         }
     }
 
-    fn end(
+    fn queue_end(
         &mut self,
         now: Micros,
         id: SessionId,
         address: SocketAddr,
         path: String,
-        unsure: bool,
+        creation_unconfirmed: bool,
         out: &mut Vec<Command>,
     ) {
-        if self.ends.len() < MOST_ENDS {
-            self.ends.insert(id, End { address, path, tries: 0, unsure, at: Some(now) });
+        if self.ends.len() < MAX_PENDING_ENDS {
+            self.ends.insert(
+                id,
+                PendingEnd { address, path, attempts: 0, creation_unconfirmed, next_attempt: Some(now) },
+            );
         }
-        self.end_due(now, out);
+        self.send_due_ends(now, out);
     }
 
-    fn end_due(&mut self, now: Micros, out: &mut Vec<Command>) {
-        let due = |e: &End| e.at.is_some_and(|at| at <= now);
+    fn send_due_ends(&mut self, now: Micros, out: &mut Vec<Command>) {
+        let due = |e: &PendingEnd| e.next_attempt.is_some_and(|at| at <= now);
         let due: Vec<SessionId> = self.ends.iter().filter(|(_, e)| due(e)).map(|(id, _)| *id).collect();
         for id in due {
             let Some(end) = self.ends.get_mut(&id) else { continue };
-            (end.tries, end.at) = (end.tries + 1, None);
+            (end.attempts, end.next_attempt) = (end.attempts + 1, None);
             let address = end.address;
-            let bytes = client::request("DELETE", &address.to_string(), &end.path, &[], None);
-            if !self.start(now, address, Exchange { work: Work::End(id), bytes, at: now }, out) {
-                self.end_again(now, id, &mut Vec::new());
+            let bytes = client::encode_request("DELETE", &address.to_string(), &end.path, &[], None);
+            if !self.start_exchange(
+                now,
+                address,
+                Exchange { kind: ExchangeKind::End(id), bytes, sent_at: now },
+                out,
+            ) {
+                self.retry_end(now, id, &mut Vec::new());
             }
         }
     }
 
-    /// An end was not heard: it is told again later, unless that was tried often enough.
-    fn end_again(&mut self, now: Micros, id: SessionId, told: &mut Vec<PoolEvent>) {
+    /// Schedules the next attempt of an unconfirmed DELETE, or drops it with a log line after the last attempt.
+    fn retry_end(&mut self, now: Micros, id: SessionId, events: &mut Vec<PoolEvent>) {
         let Some(end) = self.ends.get_mut(&id) else { return };
-        if end.tries >= MOST_TRIES {
-            told.push(PoolEvent::Log(format!(
+        if end.attempts >= MAX_END_ATTEMPTS {
+            events.push(PoolEvent::Log(format!(
                 "end not heard id={:016x} at={} tries={}",
-                id.0, end.address, end.tries
+                id.0, end.address, end.attempts
             )));
             self.ends.remove(&id);
             return;
         }
-        let pause = FIRST_PAUSE.0 << (end.tries.saturating_sub(1)).min(16);
-        end.at = Some(now + Micros(pause.min(LONGEST_PAUSE.0)));
+        let delay_us = FIRST_END_RETRY_DELAY.0 << (end.attempts.saturating_sub(1)).min(16);
+        end.next_attempt = Some(now + Micros(delay_us.min(MAX_END_RETRY_DELAY.0)));
     }
 
-    /// Tells a server a session's new rung, where it has a place for that.
-    pub fn rate(&mut self, now: Micros, id: SessionId, rung: Rung, out: &mut Vec<Command>) {
+    /// Requests a new rung for a session, if its server announced a path for selecting layers.
+    pub fn change_rung(&mut self, now: Micros, id: SessionId, rung: Rung, out: &mut Vec<Command>) {
         let Some(resource) = self.resources.get(&id) else { return };
-        let Some(layer) = &resource.layer else { return };
+        let Some(layer) = &resource.layer_path else { return };
         let body = serde_json::json!({"encodingId": rung.0.to_string()}).to_string();
         let body = Some(("application/json", body.as_bytes()));
-        let bytes = client::request("POST", &resource.address.to_string(), layer, &[], body);
+        let bytes = client::encode_request("POST", &resource.address.to_string(), layer, &[], body);
         let address = resource.address;
-        self.start(now, address, Exchange { work: Work::Rate, bytes, at: now }, out);
+        self.start_exchange(
+            now,
+            address,
+            Exchange { kind: ExchangeKind::RungChange, bytes, sent_at: now },
+            out,
+        );
     }
 
-    /// Passes a client's PATCH on. False if the session does not stand at a server of this kind.
+    /// Forwards a client's PATCH. Returns false if the session is not established at a server of this pool, or if the
+    /// queue of the server is full.
     pub fn patch(
         &mut self,
         now: Micros,
         from: ConnId,
         id: SessionId,
-        any: bool,
+        match_any: bool,
         body: &[u8],
         out: &mut Vec<Command>,
     ) -> bool {
         let Some(resource) = self.resources.get(&id) else { return false };
         let mut headers = Vec::new();
-        match &resource.tag {
-            _ if any => headers.push(("If-Match", "*")),
+        match &resource.etag {
+            _ if match_any => headers.push(("If-Match", "*")),
             Some(tag) => headers.push(("If-Match", tag.as_str())),
             None => {}
         }
         let (address, body) = (resource.address, Some((FRAGMENT, body)));
-        let bytes = client::request("PATCH", &address.to_string(), &resource.path, &headers, body);
-        self.start(now, address, Exchange { work: Work::Patch { from, id }, bytes, at: now }, out)
+        let bytes = client::encode_request("PATCH", &address.to_string(), &resource.path, &headers, body);
+        self.start_exchange(
+            now,
+            address,
+            Exchange { kind: ExchangeKind::Patch { from, id }, bytes, sent_at: now },
+            out,
+        )
     }
 
-    /// A connection has come up.
+    /// Handles a connection that has opened.
     pub fn opened(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
-        let Some(c) = self.conns.get_mut(&conn) else { return };
-        (c.open, c.used) = (true, now);
-        if let Some(exchange) = c.exchange.take() {
-            self.put(now, conn, exchange, out);
+        let Some(connection) = self.conns.get_mut(&conn) else { return };
+        (connection.is_open, connection.last_used) = (true, now);
+        if let Some(exchange) = connection.exchange.take() {
+            self.send_exchange(now, conn, exchange, out);
         }
     }
 
-    /// Bytes came.
+    /// Handles bytes received on a connection.
     pub fn bytes(
         &mut self,
         now: Micros,
         conn: ConnId,
         bytes: &[u8],
-        told: &mut Vec<PoolEvent>,
+        events: &mut Vec<PoolEvent>,
         out: &mut Vec<Command>,
     ) {
-        let Some(c) = self.conns.get_mut(&conn).filter(|c| !c.closing) else { return };
-        c.used = now;
-        if let Some(Exchange { work: Work::Events(server), .. }) = &c.exchange {
+        let Some(connection) = self.conns.get_mut(&conn).filter(|c| !c.closing) else { return };
+        connection.last_used = now;
+        if let Some(Exchange { kind: ExchangeKind::Events(server), .. }) = &connection.exchange {
             let server = server.clone();
-            match news::feed(&mut c.stream, bytes) {
-                Ok(news) => self.heard(&server, news, told),
+            match news::read_events(&mut connection.stream, bytes) {
+                Ok(edge_events) => self.handle_edge_events(&server, edge_events, events),
                 Err(error) => {
-                    c.closing = true;
+                    connection.closing = true;
                     out.push(Command::Abort(conn, error.code()));
                 }
             }
             return;
         }
-        c.responses.feed(bytes);
-        if c.exchange.is_none() {
-            // Nothing was asked: what it says has no meaning, and what follows could be taken for an answer.
-            c.closing = true;
+        connection.responses.feed(bytes);
+        if connection.exchange.is_none() {
+            // No request is open: these bytes answer nothing, and later ones could be mistaken for the answer to the
+            // next request.
+            connection.closing = true;
             return out.push(Command::Close(conn, "unasked"));
         }
-        match c.responses.next_response(LONGEST_BODY) {
+        match connection.responses.next_response(MAX_BODY_BYTES) {
             Ok(None) => {}
             Ok(Some(response)) => {
-                let exchange = c.exchange.take();
-                if !response.keep_alive || c.responses.begun() {
-                    c.closing = true;
+                let exchange = connection.exchange.take();
+                if !response.keep_alive || connection.responses.has_pending_data() {
+                    connection.closing = true;
                     out.push(Command::Close(conn, if response.keep_alive { "unasked" } else { "done" }));
                 }
-                let address = c.address;
+                let address = connection.address;
                 if let Some(exchange) = exchange {
-                    self.answered(now, address, exchange.work, response, told, out);
+                    self.handle_response(now, address, exchange.kind, response, events, out);
                 }
-                self.next_waiting(now, address, out);
+                self.start_next_waiting(now, address, out);
             }
             Err(error) => {
-                c.closing = true;
+                connection.closing = true;
                 out.push(Command::Abort(conn, error.code()));
-                let (exchange, unfinished) = (c.exchange.take(), c.responses.unfinished().cloned());
-                let address = c.address;
+                let (exchange, unfinished) =
+                    (connection.exchange.take(), connection.responses.partial_response().cloned());
+                let address = connection.address;
                 if let Some(exchange) = exchange {
-                    self.broken(now, address, exchange.work, unfinished.as_ref(), false, told, out);
+                    self.handle_broken_exchange(
+                        now,
+                        address,
+                        exchange.kind,
+                        unfinished.as_ref(),
+                        false,
+                        events,
+                        out,
+                    );
                 }
-                self.next_waiting(now, address, out);
+                self.start_next_waiting(now, address, out);
             }
         }
     }
 
-    /// What a server told of itself and of its sessions. A note goes to one session, as on the platform.
-    fn heard(&mut self, server: &ServerId, news: Vec<EdgeEvent>, told: &mut Vec<PoolEvent>) {
-        for news in news {
-            let mut there = self.resources.iter().filter(|(_, r)| r.server == *server);
-            match news {
+    /// Handles events that a server sent about itself and its sessions. A load note is reported for one session of
+    /// the server only, as in the platform protocol.
+    fn handle_edge_events(
+        &mut self,
+        server: &ServerId,
+        edge_events: Vec<EdgeEvent>,
+        events: &mut Vec<PoolEvent>,
+    ) {
+        for edge_event in edge_events {
+            let mut at_server = self.resources.iter().filter(|(_, r)| r.server == *server);
+            match edge_event {
                 EdgeEvent::Note(note) => {
-                    told.extend(there.next().map(|(id, _)| PoolEvent::Note(*id, server.clone(), note)));
+                    events.extend(at_server.next().map(|(id, _)| PoolEvent::Note(*id, server.clone(), note)));
                 }
                 EdgeEvent::Ended(path) => {
-                    let id = there.find(|(_, r)| r.path == path).map(|(id, _)| *id);
+                    let id = at_server.find(|(_, r)| r.path == path).map(|(id, _)| *id);
                     if let Some(id) = id {
                         self.resources.remove(&id);
-                        told.push(PoolEvent::Ended(id, server.clone(), Status::Completed, Load::default()));
+                        events.push(PoolEvent::Ended(id, server.clone(), Status::Completed, Load::default()));
                     }
                 }
             }
         }
     }
 
-    /// Listens to servers where sessions stand and which tell of themselves.
-    fn listen(&mut self, now: Micros, out: &mut Vec<Command>) {
+    /// Requests the event streams of servers that offer one, hold sessions and have no stream open.
+    fn request_event_streams(&mut self, now: Micros, out: &mut Vec<Command>) {
         if self.targets.values().all(|t| t.paths.events.is_none()) {
             return;
         }
-        let heard = |e: &Exchange| if let Work::Events(s) = &e.work { Some(s.clone()) } else { None };
-        let open: Vec<ServerId> = self.conns.values().filter_map(|c| heard(c.exchange.as_ref()?)).collect();
-        let mut silent: Vec<&ServerId> = self.resources.values().map(|r| &r.server).collect();
-        silent.sort_unstable();
-        silent.dedup();
-        let due = |s: &ServerId| !open.contains(s) && self.listen_at.get(s).is_none_or(|at| *at <= now);
-        let silent: Vec<ServerId> = silent.into_iter().filter(|s| due(s)).cloned().collect();
-        for server in silent {
+        let stream_server =
+            |e: &Exchange| if let ExchangeKind::Events(s) = &e.kind { Some(s.clone()) } else { None };
+        let open: Vec<ServerId> = self
+            .conns
+            .values()
+            .filter_map(|connection| stream_server(connection.exchange.as_ref()?))
+            .collect();
+        let mut servers: Vec<&ServerId> = self.resources.values().map(|r| &r.server).collect();
+        servers.sort_unstable();
+        servers.dedup();
+        let due =
+            |s: &ServerId| !open.contains(s) && self.next_event_request.get(s).is_none_or(|at| *at <= now);
+        let servers: Vec<ServerId> = servers.into_iter().filter(|s| due(s)).cloned().collect();
+        for server in servers {
             let Some(target) = self.targets.get(&server) else { continue };
             let Some(path) = target.paths.events.clone() else { continue };
-            self.listen_at.insert(server.clone(), now + LISTEN_EVERY);
+            self.next_event_request.insert(server.clone(), now + EVENT_STREAM_RETRY_INTERVAL);
             let (address, headers) = (target.address, [("Accept", "text/event-stream")]);
-            let bytes = client::request("GET", &address.to_string(), &path, &headers, None);
-            self.start(now, address, Exchange { work: Work::Events(server), bytes, at: now }, out);
+            let bytes = client::encode_request("GET", &address.to_string(), &path, &headers, None);
+            self.start_exchange(
+                now,
+                address,
+                Exchange { kind: ExchangeKind::Events(server), bytes, sent_at: now },
+                out,
+            );
         }
         let targets = &self.targets;
-        self.listen_at.retain(|server, _| targets.contains_key(server));
+        self.next_event_request.retain(|server, _| targets.contains_key(server));
     }
 
-    /// A connection is free, or one more may be opened.
-    fn next_waiting(&mut self, now: Micros, address: SocketAddr, out: &mut Vec<Command>) {
+    /// Starts the next queued exchange when a connection is free or one more may be opened.
+    fn start_next_waiting(&mut self, now: Micros, address: SocketAddr, out: &mut Vec<Command>) {
         let Some(waiting) = self.waiting.get_mut(&address) else { return };
         if let Some(next) = waiting.pop_front() {
-            self.start(now, address, next, out);
+            self.start_exchange(now, address, next, out);
         } else {
             self.waiting.remove(&address);
         }
     }
 
-    fn answered(
+    fn handle_response(
         &mut self,
         now: Micros,
         address: SocketAddr,
-        work: Work,
+        kind: ExchangeKind,
         response: Response,
-        told: &mut Vec<PoolEvent>,
+        events: &mut Vec<PoolEvent>,
         out: &mut Vec<Command>,
     ) {
-        match work {
-            Work::SetUp { id, server, path, given_up, .. } => {
-                self.set_up_answered(now, address, (id, server, path, given_up), response, told, out);
+        match kind {
+            ExchangeKind::SetUp { id, server, path, given_up, .. } => {
+                self.handle_set_up_response(
+                    now,
+                    address,
+                    (id, server, path, given_up),
+                    response,
+                    events,
+                    out,
+                );
             }
-            Work::End(id) => {
-                let early = self.ends.get(&id).is_some_and(|e| e.unsure && e.tries < UNSURE_TRIES);
+            ExchangeKind::End(id) => {
+                let retry_if_missing = self
+                    .ends
+                    .get(&id)
+                    .is_some_and(|e| e.creation_unconfirmed && e.attempts < MIN_UNCONFIRMED_END_ATTEMPTS);
                 match response.status {
-                    404 | 410 if early => self.end_again(now, id, told),
+                    404 | 410 if retry_if_missing => self.retry_end(now, id, events),
                     200..=299 | 404 | 410 => {
                         self.ends.remove(&id);
                     }
-                    _ => self.end_again(now, id, told),
+                    _ => self.retry_end(now, id, events),
                 }
             }
-            Work::Rate | Work::Events(_) => {}
-            Work::Patch { from, id } => {
+            ExchangeKind::RungChange | ExchangeKind::Events(_) => {}
+            ExchangeKind::Patch { from, id } => {
                 if let (Some(resource), Some(tag)) = (self.resources.get_mut(&id), response.header("etag")) {
-                    resource.tag = Some(tag.to_owned());
+                    resource.etag = Some(tag.to_owned());
                 }
-                told.push(PoolEvent::Patched(from, id, Some(response)));
+                events.push(PoolEvent::Patched(from, id, Some(response)));
             }
         }
     }
 
-    fn set_up_answered(
+    fn handle_set_up_response(
         &mut self,
         now: Micros,
         address: SocketAddr,
         (id, server, path, given_up): (SessionId, ServerId, String, Option<Micros>),
         response: Response,
-        told: &mut Vec<PoolEvent>,
+        events: &mut Vec<PoolEvent>,
         out: &mut Vec<Command>,
     ) {
         let resource = response.header("location").and_then(|l| resource_path(l, &path));
-        let sdp = response.content_type().as_deref() == Some("application/sdp");
-        let described = sdp && std::str::from_utf8(&response.body).is_ok_and(|b| b.starts_with("v=0"));
+        let is_sdp = response.content_type().as_deref() == Some("application/sdp");
+        let has_description =
+            is_sdp && std::str::from_utf8(&response.body).is_ok_and(|b| b.starts_with("v=0"));
         let outcome = Outcome::Answer {
             code: response.status,
             retry_after: response.header("retry-after").is_some(),
-            complete: described && resource.is_some(),
+            complete: has_description && resource.is_some(),
         };
-        let report = response.header(load::HEADER).map(load::report).unwrap_or_default();
-        let stands = proof(outcome);
-        match (stands, resource) {
-            (Proof::Stands, Some(path)) if given_up.is_none() => {
+        let report = response.header(load::HEADER).map(load::parse_report).unwrap_or_default();
+        let result = classify(outcome);
+        match (result, resource) {
+            (Proof::Established, Some(path)) if given_up.is_none() => {
                 let links = || response.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case("link"));
-                let links = || links().flat_map(|(_, v)| split_links(v)).filter(|l| l.len() <= LONGEST_LINK);
+                let links =
+                    || links().flat_map(|(_, v)| split_links(v)).filter(|l| l.len() <= MAX_LINK_BYTES);
                 let target = |l: &str| l.trim().strip_prefix('<')?.split_once('>').map(|(t, _)| t.to_owned());
-                let layer = links().find(|l| has_rel(l, LAYER)).and_then(target);
-                let layer = layer.and_then(|t| resource_path(&t, &path));
-                let ice = links().filter(|l| has_rel(l, "ice-server")).take(MOST_LINKS).map(str::to_owned);
-                let (tag, ice) = (response.header("etag").map(str::to_owned), ice.collect());
-                let made = Resource { server: server.clone(), address, path, tag, layer, ice };
-                self.resources.insert(id, made);
-                told.push(PoolEvent::Answer(id, server.clone(), response.body.as_slice().into()));
+                let layer_path = links().find(|l| has_rel(l, LAYER_RELATION)).and_then(target);
+                let layer_path = layer_path.and_then(|t| resource_path(&t, &path));
+                let ice = links().filter(|l| has_rel(l, "ice-server")).take(MAX_ICE_LINKS).map(str::to_owned);
+                let (etag, ice_links) = (response.header("etag").map(str::to_owned), ice.collect());
+                let resource =
+                    Resource { server: server.clone(), address, path, etag, layer_path, ice_links };
+                self.resources.insert(id, resource);
+                events.push(PoolEvent::Answer(id, server.clone(), response.body.as_slice().into()));
                 let notes = [report.link.or(report.util).map(Note::Link), report.uplink.map(Note::Uplink)];
-                told.extend(notes.into_iter().flatten().map(|n| PoolEvent::Note(id, server.clone(), n)));
+                events.extend(notes.into_iter().flatten().map(|n| PoolEvent::Note(id, server.clone(), n)));
             }
-            (stands, resource) => {
-                // A session that nobody waits for any more, or that can't be used, must not play on.
+            (result, resource) => {
+                // A session whose set-up was given up, or whose answer can't be used, must not continue to play.
                 if let Some(path) = resource.filter(|_| (200..300).contains(&response.status)) {
-                    self.end(now, id, address, path, false, out);
+                    self.queue_end(now, id, address, path, false, out);
                 }
                 if given_up.is_none() {
-                    let status = match stands {
-                        Proof::Over(status) => status,
-                        Proof::Stands => Status::Errored,
+                    let status = match result {
+                        Proof::Ended(status) => status,
+                        Proof::Established => Status::Errored,
                     };
-                    told.push(PoolEvent::Ended(id, server, status, report));
+                    events.push(PoolEvent::Ended(id, server, status, report));
                 }
             }
         }
     }
 
-    /// An exchange whose connection ended under it.
-    #[expect(clippy::too_many_arguments, reason = "the parts of one end")]
-    fn broken(
+    /// Handles an exchange whose connection ended, or sent an unreadable answer, before a whole answer came.
+    #[expect(clippy::too_many_arguments, reason = "the parts of one broken exchange")]
+    fn handle_broken_exchange(
         &mut self,
         now: Micros,
         address: SocketAddr,
-        work: Work,
+        kind: ExchangeKind,
         unfinished: Option<&Response>,
         unsent: bool,
-        told: &mut Vec<PoolEvent>,
+        events: &mut Vec<PoolEvent>,
         out: &mut Vec<Command>,
     ) {
-        match work {
-            Work::SetUp { id, server, path, end, given_up } => {
-                // The head of a 201 has told enough to end what it made; else only a server that knows sessions by
-                // the broker's names can be asked.
-                let place = unfinished.filter(|r| r.status == 201).and_then(|r| r.header("location"));
-                let place = place.and_then(|l| resource_path(l, &path));
-                let unsure = place.is_none();
-                let place = place.or(end.filter(|_| !unsent));
-                let known = place.is_some() || unsent;
-                if let Some(place) = place {
-                    self.end(now, id, address, place, unsure, out);
+        match kind {
+            ExchangeKind::SetUp { id, server, path, end_path, given_up } => {
+                // The head of a 201 names the session it created, which is enough to end it. Without it, the session
+                // can only be ended at a server that identifies sessions by the broker's ids.
+                let location_path = unfinished.filter(|r| r.status == 201).and_then(|r| r.header("location"));
+                let location_path = location_path.and_then(|l| resource_path(l, &path));
+                let creation_unconfirmed = location_path.is_none();
+                let location_path = location_path.or(end_path.filter(|_| !unsent));
+                let is_resolved = location_path.is_some() || unsent;
+                if let Some(location_path) = location_path {
+                    self.queue_end(now, id, address, location_path, creation_unconfirmed, out);
                 }
                 if given_up.is_none() {
                     let outcome = if unsent { Outcome::Unsent } else { Outcome::Broken };
-                    let status = match proof(outcome) {
-                        Proof::Over(status) => status,
-                        Proof::Stands => Status::Reset,
+                    let status = match classify(outcome) {
+                        Proof::Ended(status) => status,
+                        Proof::Established => Status::Reset,
                     };
-                    told.push(PoolEvent::Ended(id, server, status, Load::default()));
-                } else if !known {
-                    told.push(PoolEvent::Log(format!("late answer lost id={:016x} at={address}", id.0)));
+                    events.push(PoolEvent::Ended(id, server, status, Load::default()));
+                } else if !is_resolved {
+                    events.push(PoolEvent::Log(format!("late answer lost id={:016x} at={address}", id.0)));
                 }
             }
-            Work::End(id) => self.end_again(now, id, told),
-            Work::Rate | Work::Events(_) => {}
-            Work::Patch { from, id } => told.push(PoolEvent::Patched(from, id, None)),
+            ExchangeKind::End(id) => self.retry_end(now, id, events),
+            ExchangeKind::RungChange | ExchangeKind::Events(_) => {}
+            ExchangeKind::Patch { from, id } => events.push(PoolEvent::Patched(from, id, None)),
         }
     }
 
-    /// A connection has ended.
+    /// Handles a connection that has ended or could not be opened.
     pub fn closed(
         &mut self,
         now: Micros,
         conn: ConnId,
         how: &ConnectionEnd,
-        told: &mut Vec<PoolEvent>,
+        events: &mut Vec<PoolEvent>,
         out: &mut Vec<Command>,
     ) {
-        let Some(c) = self.conns.remove(&conn) else { return };
-        let down = matches!(how, ConnectionEnd::Refused | ConnectionEnd::NoAnswer | ConnectionEnd::Unopened);
-        if let Some(exchange) = c.exchange {
-            let mine = |unsent: &Vec<SessionId>| match &exchange.work {
-                Work::SetUp { id, .. } => unsent.contains(id),
+        let Some(connection) = self.conns.remove(&conn) else { return };
+        let not_connected =
+            matches!(how, ConnectionEnd::Refused | ConnectionEnd::NoAnswer | ConnectionEnd::Unopened);
+        if let Some(exchange) = connection.exchange {
+            let is_unsent = |unsent: &Vec<SessionId>| match &exchange.kind {
+                ExchangeKind::SetUp { id, .. } => unsent.contains(id),
                 _ => false,
             };
-            let unsent =
-                down || !c.open || matches!(how, ConnectionEnd::Ended { unsent, .. } if mine(unsent));
-            self.broken(now, c.address, exchange.work, c.responses.unfinished(), unsent, told, out);
-        }
-        if down {
-            // Those that wait for a connection would be turned down one after the other.
-            let waiting = self.waiting.remove(&c.address).unwrap_or_default();
+            let unsent = not_connected
+                || !connection.is_open
+                || matches!(how, ConnectionEnd::Ended { unsent, .. } if is_unsent(unsent));
+            self.handle_broken_exchange(
+                now,
+                connection.address,
+                exchange.kind,
+                connection.responses.partial_response(),
+                unsent,
+                events,
+                out,
+            );
+        }
+        if not_connected {
+            // The queued exchanges would be refused too, one after the other.
+            let waiting = self.waiting.remove(&connection.address).unwrap_or_default();
             for exchange in waiting {
-                self.broken(now, c.address, exchange.work, None, true, told, out);
+                self.handle_broken_exchange(now, connection.address, exchange.kind, None, true, events, out);
             }
             if matches!(how, ConnectionEnd::Refused) {
-                let there = self.targets.iter().filter(|(_, t)| t.address == c.address);
-                told.extend(there.map(|(server, _)| PoolEvent::Refused(server.clone())));
+                let at_server = self.targets.iter().filter(|(_, t)| t.address == connection.address);
+                events.extend(at_server.map(|(server, _)| PoolEvent::Refused(server.clone())));
             }
         } else {
-            self.next_waiting(now, c.address, out);
+            self.start_next_waiting(now, connection.address, out);
         }
     }
 
-    /// When [`Pool::tick`] is wanted next.
+    /// Returns when [`Pool::tick`] is due next.
     pub fn next_due(&self) -> Option<Micros> {
-        let ends = self.ends.values().filter_map(|e| e.at);
-        let conns = self.conns.values().filter(|c| !c.closing).filter_map(|c| self.conn_due(c));
+        let ends = self.ends.values().filter_map(|e| e.next_attempt);
+        let conns = self
+            .conns
+            .values()
+            .filter(|connection| !connection.closing)
+            .filter_map(|connection| self.connection_due(connection));
         ends.chain(conns).min()
     }
 
-    /// When a connection is to be let go, if nothing happens on it.
-    fn conn_due(&self, c: &Conn) -> Option<Micros> {
-        match &c.exchange {
-            None => Some(c.used + FRESH),
-            Some(Exchange { work: Work::SetUp { given_up, .. }, .. }) => given_up.map(|at| at + LATE),
-            Some(Exchange { work: Work::Events(_), .. }) => Some(c.used + SILENCE),
-            Some(exchange) => Some(exchange.at + PATIENCE),
+    /// Returns when a connection is to be closed or aborted if nothing happens on it.
+    fn connection_due(&self, connection: &Connection) -> Option<Micros> {
+        match &connection.exchange {
+            None => Some(connection.last_used + MAX_IDLE),
+            Some(Exchange { kind: ExchangeKind::SetUp { given_up, .. }, .. }) => {
+                given_up.map(|at| at + ABANDONED_SET_UP_TIMEOUT)
+            }
+            Some(Exchange { kind: ExchangeKind::Events(_), .. }) => {
+                Some(connection.last_used + EVENT_STREAM_TIMEOUT)
+            }
+            Some(exchange) => Some(exchange.sent_at + EXCHANGE_TIMEOUT),
         }
     }
 
-    /// Time has passed.
+    /// Closes connections that are due, sends the DELETE requests that are due and requests event streams.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Command>) {
         let due: Vec<ConnId> = self
             .conns
             .iter()
-            .filter(|(_, c)| !c.closing && self.conn_due(c).is_some_and(|at| at <= now))
+            .filter(|(_, connection)| {
+                !connection.closing && self.connection_due(connection).is_some_and(|at| at <= now)
+            })
             .map(|(id, _)| *id)
             .collect();
         for conn in due {
-            let Some(c) = self.conns.get_mut(&conn) else { continue };
-            c.closing = true;
-            out.push(match c.exchange {
+            let Some(connection) = self.conns.get_mut(&conn) else { continue };
+            connection.closing = true;
+            out.push(match connection.exchange {
                 None => Command::Close(conn, "idle"),
                 Some(_) => Command::Abort(conn, "no-answer"),
             });
         }
-        self.end_due(now, out);
-        self.listen(now, out);
+        self.send_due_ends(now, out);
+        self.request_event_streams(now, out);
     }
 
-    /// A server is lost with what stood there. Where it may only have started anew, what it still holds is ended.
-    pub fn lost(&mut self, now: Micros, server: &ServerId, may_hold: bool, out: &mut Vec<Command>) {
-        let there = self.resources.iter().filter(|(_, r)| r.server == *server);
-        let ids: Vec<SessionId> = there.map(|(id, _)| *id).collect();
+    /// Removes the sessions of a lost server. With `may_hold`, the server may still hold sessions after a restart, so
+    /// they are ended there.
+    pub fn server_lost(&mut self, now: Micros, server: &ServerId, may_hold: bool, out: &mut Vec<Command>) {
+        let at_server = self.resources.iter().filter(|(_, r)| r.server == *server);
+        let ids: Vec<SessionId> = at_server.map(|(id, _)| *id).collect();
         for id in ids {
             match self.resources.remove(&id) {
-                Some(resource) if may_hold => self.end(now, id, resource.address, resource.path, false, out),
+                Some(resource) if may_hold => {
+                    self.queue_end(now, id, resource.address, resource.path, false, out)
+                }
                 _ => {}
             }
         }
--- a/src/net/outbox/bell.rs
+++ b/src/net/outbox/bell.rs
@@ -1,34 +1,34 @@
-//! The bell that wakes a task.
+//! A notification that wakes a waiting task.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::task::{Poll, Waker};
 
-/// Wakes one waiter; a ring before the wait is not lost.
+/// Notifies one waiting task. A notification that comes before the wait is stored and not lost.
 #[derive(Debug, Default)]
-pub struct Bell {
-    rung: Cell<bool>,
+pub struct Notify {
+    is_set: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
-impl Bell {
-    /// Rings it.
-    pub fn ring(&self) {
-        self.rung.set(true);
+impl Notify {
+    /// Stores a notification and wakes the waiting task.
+    pub fn notify(&self) {
+        self.is_set.set(true);
         if let Some(waker) = self.waker.borrow_mut().take() {
             waker.wake();
         }
     }
 
-    /// Whether it rang and nobody has heard it; it is heard with this.
-    pub fn rung(&self) -> bool {
-        self.rung.take()
+    /// Takes the stored notification. Returns whether there was one.
+    pub fn take(&self) -> bool {
+        self.is_set.take()
     }
 
-    /// Waits for the next ring.
-    pub async fn heard(&self) {
+    /// Waits for a notification and takes it.
+    pub async fn notified(&self) {
         poll_fn(|context| {
-            if self.rung.take() {
+            if self.is_set.take() {
                 return Poll::Ready(());
             }
             *self.waker.borrow_mut() = Some(context.waker().clone());
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! One broker without its sockets: carries what the fronts hear to the core and what the core decides to the
-//! fronts. Fed connections and bytes, gives [`Command`]s.
+//! A broker without sockets: passes client and server events to the core, and carries out the core's
+//! decisions. Its input is connections and bytes, its output [`Command`]s for the driver.
 
 mod connections;
 mod effects;
@@ -28,18 +28,18 @@
 use crate::roster::SettingNames;
 use crate::trace::{Event as Traced, Tracer};
 use crate::whip::{self, Title};
-pub use ending::{HeldRequest, Remaining};
+pub use ending::{Remaining, UnansweredRequest};
 use viewer_conn::ViewerConn;
 
-/// The part of the memory that sessions and their descriptions may take: the latter lie in the queues to servers
-/// once more, and the program and its buffers need the rest.
-const SESSIONS_PART: usize = 4;
-/// Keeps the ids of the second front apart from the module's random numbers.
+/// Share of the memory for sessions and their descriptions. Set-ups that wait for a server hold their
+/// description once more, and the program and its buffers need the rest.
+const SESSION_MEMORY_DIVISOR: usize = 4;
+/// Separates the random ids of the WHIP front from the random numbers of the module.
 const WHIP_SEED: u64 = 0x5748_4950;
-/// Time between looks at connections.
-const LOOK_EVERY: Micros = Micros(250_000);
+/// Time between inspections of connections and silent servers.
+const INSPECTION_INTERVAL: Micros = Micros(250_000);
 
-/// What a connection that was accepted speaks.
+/// The protocol of an accepted connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
     /// The platform's JSON lines.
@@ -49,7 +49,7 @@
 }
 
 impl Protocol {
-    /// Its name in the log.
+    /// The name of the protocol in the log.
     pub fn name(self) -> &'static str {
         match self {
             Protocol::Platform => "viewer",
@@ -58,58 +58,64 @@
     }
 }
 
-/// One broker without its sockets.
+/// A broker without sockets.
 pub struct Node {
     broker: Broker,
     names: SettingNames,
     settings: Settings,
     links: Links,
-    /// Servers that speak WHIP or WHEP.
+    /// Connections to media servers, which speak WHIP or WHEP.
     pool: Pool,
     viewers: BTreeMap<ConnId, ViewerConn>,
     whip: Option<whip::WhipFront>,
     hook: Option<Hook>,
-    /// The connection that a session was set up on.
-    homes: BTreeMap<SessionId, ConnId>,
-    /// Lines that no connection was open for.
-    owed: VecDeque<(Micros, Vec<u8>)>,
-    owed_most: usize,
-    /// What the list says of the servers, and when they started last.
+    /// The client connection on which each session was set up.
+    session_conns: BTreeMap<SessionId, ConnId>,
+    /// Session ends that could not be sent as no suitable connection was open, with the time at which each
+    /// expires.
+    pending_ends: VecDeque<(Micros, Vec<u8>)>,
+    /// The number of session ends that may wait.
+    max_pending_ends: usize,
+    /// The listed state of each server and the time of its last start.
     servers: BTreeMap<ServerId, (ServerState, Option<Micros>)>,
-    look_at: Micros,
-    /// Whether it serves, drains or ends, and when clients' connections are looked at for that.
+    /// When connections and silent servers are inspected next.
+    next_inspection: Micros,
+    /// Whether the broker serves, drains or ends.
     phase: Phase,
-    let_go_at: Micros,
-    figures: Metrics,
-    /// Sessions that were passed to another process, and their servers; and what it is to hear.
-    passed: BTreeMap<SessionId, ServerId>,
+    /// When client connections are next checked for closing.
+    next_drain_check: Micros,
+    metrics: Metrics,
+    /// Sessions handed over to another process, with their servers.
+    handed_over: BTreeMap<SessionId, ServerId>,
+    /// Messages for the other process of a hand-over.
     messages: Vec<Message>,
-    /// When new settings were taken in last.
-    renamed_at: Micros,
+    /// When the settings were last reloaded.
+    reloaded_at: Micros,
     log: Vec<String>,
-    /// Requests refused and attempts sent since the start.
+    /// Requests refused since the start.
     refusals: u64,
+    /// Attempts sent since the start.
     attempts: u64,
-    /// What is told of each request, where that is asked for.
+    /// Writes the trace of requests, where it is enabled.
     tracer: Option<Tracer>,
     /// The rules that the brokers agree on, once there are any.
-    ruled: Option<ruled::Ruled>,
+    rules: Option<ruled::NodeRules>,
     /// Time limits that follow from the settings in use.
     timings: Timings,
 }
 
-/// What the settings name the `i`th of a list; nothing if there is none.
-fn named(list: &[String], i: usize) -> &str {
+/// Returns the name at an index of a list from the settings, or an empty string.
+fn name_at(list: &[String], i: usize) -> &str {
     list.get(i).map_or("", String::as_str)
 }
 
 impl Node {
-    /// A node that knows its configuration.
+    /// Creates a node from its configuration.
     pub fn new(config: &Config) -> Node {
         let timings = Timings::new(&config.settings, config.idle, config.connect_timeout);
         Node {
             broker: Broker::new(config.settings.clone(), config.seed)
-                .bounded(config.memory / SESSIONS_PART, config.settings.max_retry_after),
+                .with_memory_limit(config.memory / SESSION_MEMORY_DIVISOR, config.settings.max_retry_after),
             names: config.names.clone(),
             settings: config.settings.clone(),
             links: Links::new(timings),
@@ -123,117 +129,118 @@
                 )
             }),
             hook: config.hook.as_ref().and_then(|(text, operations)| Hook::new(text, *operations).ok()),
-            homes: BTreeMap::new(),
-            owed: VecDeque::new(),
-            owed_most: viewers::owed_most(config.memory),
+            session_conns: BTreeMap::new(),
+            pending_ends: VecDeque::new(),
+            max_pending_ends: viewers::max_pending_ends(config.memory),
             servers: BTreeMap::new(),
-            look_at: Micros(0),
+            next_inspection: Micros(0),
             phase: Phase::default(),
-            let_go_at: Micros::MAX,
-            figures: Metrics::default(),
-            passed: BTreeMap::new(),
+            next_drain_check: Micros::MAX,
+            metrics: Metrics::default(),
+            handed_over: BTreeMap::new(),
             messages: Vec::new(),
-            renamed_at: Micros(0),
+            reloaded_at: Micros(0),
             log: Vec::new(),
             refusals: 0,
             attempts: 0,
             tracer: None,
-            ruled: None,
+            rules: None,
             timings,
         }
     }
 
-    /// Tells of each request from now on, so many lines a second at most; nothing for 0.
+    /// Enables the trace of requests with at most this number of lines per second; 0 disables it.
     pub fn trace(&mut self, lines_per_s: u32) {
         self.tracer = (lines_per_s > 0).then(|| Tracer::new(lines_per_s));
     }
 
-    /// What is to be told of requests since the last call, and when each was.
+    /// Returns the trace events since the last call, each with its time.
     pub fn take_trace(&mut self) -> Vec<(Micros, Traced)> {
-        self.tracer.as_mut().map(Tracer::take).unwrap_or_default()
+        self.tracer.as_mut().map(Tracer::take_events).unwrap_or_default()
     }
 
-    /// Requests that are owed an answer, and sessions that stand.
-    pub fn held(&self) -> (usize, usize) {
+    /// Returns the number of unanswered requests and the number of established sessions.
+    pub fn open_counts(&self) -> (usize, usize) {
         (self.broker.unanswered(), self.broker.established())
     }
 
-    /// What the fleet's record tells of this broker.
+    /// Returns the counts of this broker for the record of the fleet.
     pub fn counts(&self) -> Counts {
         let sessions = self.broker.established() as u64;
         Counts { sessions, refusals: self.refusals, attempts: self.attempts }
     }
 
-    /// How many fronts share the fleet, and which of them this one is.
+    /// Sets the number of brokers that share the fleet, and the index of this one.
     pub fn set_fleet_position(&mut self, now: Micros, count: u32, place: u32, out: &mut Vec<Command>) {
-        self.tell(now, Input::FleetPosition(count, place), out);
+        self.handle_input(now, Input::FleetPosition(count, place), out);
     }
 
-    /// Time limits that follow from the settings in use.
+    /// Returns the time limits that follow from the settings in use.
     pub fn timings(&self) -> Timings {
         self.timings
     }
 
-    /// Takes new titles in; sessions of titles that are no longer there play on.
+    /// Replaces the titles. Sessions of removed titles play on.
     pub fn replace_titles(&mut self, titles: BTreeMap<String, Title>) {
         if let Some(whip) = &mut self.whip {
             whip.replace_titles(titles);
         }
     }
 
-    /// Takes a new script in. False if it can't be used: the old one stays.
+    /// Replaces the script. Returns false and keeps the old script if the new one can't be used.
     pub fn replace_script(&mut self, text: &str, operations: u64) -> bool {
         let hook = Hook::new(text, operations).ok();
-        let good = hook.is_some();
+        let is_valid = hook.is_some();
         self.hook = hook.or(self.hook.take());
-        good
+        is_valid
     }
 
-    /// Whether anything is set up, or waits for it, at a server.
-    pub fn busy(&self, server: &ServerId) -> bool {
+    /// Whether any session is established at a server.
+    pub fn has_sessions_at(&self, server: &ServerId) -> bool {
         self.broker.has_established_at(server)
     }
 
-    /// Servers, sessions, attempts and clients' connections that anything is remembered of, at its fullest place.
+    /// The size of the largest table of servers, sessions, attempts or connections, for checks against
+    /// unbounded growth.
     pub fn tracked_entries(&self) -> usize {
-        let own = [self.servers.len(), self.homes.len(), self.owed.len(), self.viewers.len()];
-        let own = own.into_iter().chain([self.figures.tracked_entries()]);
-        let told = self.tracer.as_ref().map_or(0, Tracer::tracked_entries);
+        let own = [self.servers.len(), self.session_conns.len(), self.pending_ends.len(), self.viewers.len()];
+        let own = own.into_iter().chain([self.metrics.tracked_entries()]);
+        let traced = self.tracer.as_ref().map_or(0, Tracer::tracked_entries);
         let others = [
             self.links.tracked_entries(),
             self.links.len(),
             self.pool.tracked_entries(),
             self.broker.tracked_entries(),
-            told,
+            traced,
         ];
         own.chain(others).max().unwrap_or(0)
     }
 
-    /// Lines for the log since the last call.
+    /// Returns the log lines since the last call.
     pub fn take_log(&mut self) -> Vec<String> {
         std::mem::take(&mut self.log)
     }
 
-    /// When [`Node::tick`] is wanted next.
+    /// The time at which [`Node::tick`] must be called next.
     pub fn next_alarm(&self) -> Micros {
         let alarms = [self.broker.next_alarm(), self.links.next_due(), self.pool.next_due()];
-        alarms.into_iter().flatten().fold(self.look_at.min(self.let_go_at), Micros::min)
+        alarms.into_iter().flatten().fold(self.next_inspection.min(self.next_drain_check), Micros::min)
     }
 
-    /// Time has passed.
+    /// Does what is due at this time.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.links.write_due(now, out);
         self.pool.tick(now, out);
-        self.let_go(now, out);
-        self.tell(now, Input::Tick, out);
-        if now >= self.look_at {
-            self.look_at = now + LOOK_EVERY;
-            self.names.lately &= now < self.renamed_at + self.timings.renamed;
-            self.owed.retain(|(until, _)| *until > now);
-            self.look(now, out);
+        self.close_unneeded_clients(now, out);
+        self.handle_input(now, Input::Tick, out);
+        if now >= self.next_inspection {
+            self.next_inspection = now + INSPECTION_INTERVAL;
+            self.names.recently_changed &= now < self.reloaded_at + self.timings.old_names_accepted;
+            self.pending_ends.retain(|(until, _)| *until > now);
+            self.check_silent_servers(now, out);
             self.links.tick(now, out);
-            self.close_clients(out, |c| c.overdue(now));
-            self.whip(now, out, |whip, sure, wishes| whip.tick(now, sure, wishes));
+            self.close_clients_where(out, |c| c.overdue(now));
+            self.with_whip(now, out, |whip, nothing_ran, actions| whip.tick(now, nothing_ran, actions));
         }
     }
 }
--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -1,19 +1,19 @@
-//! A new configuration under sessions that wait and play.
+//! Reloads the configuration while requests wait and sessions play.
 
 use super::Node;
 use crate::api::Micros;
 use crate::broker::Input;
 use crate::config::Config;
 use crate::hook::Hook;
-use crate::operate::settings::{Merged, merge};
+use crate::operate::settings::{MergedSettings, merge};
 use crate::platform::links::Command;
 use crate::platform::timings::Timings;
 use crate::roster::SettingNames;
 use crate::watch::judge::Role;
 
 impl Node {
-    /// Takes a new configuration in: settings, the front and the script. What waits or plays goes on as it was taken.
-    /// Gives the fields that wait for the next start.
+    /// Applies the settings, the front and the script of a new configuration. Waiting requests and playing
+    /// sessions go on as they were accepted. Returns the fields that take effect only after a restart.
     pub fn reload(&mut self, now: Micros, config: &Config, out: &mut Vec<Command>) -> Vec<&'static str> {
         let titles = self.whip.iter().flat_map(|whip| whip.titles().values().map(|t| (t.class, t.tenant)));
         let titles: Vec<(usize, usize)> = titles.collect();
@@ -23,23 +23,23 @@
             |class| self.broker.uses_class(class) || titles.iter().any(|(c, _)| *c == class),
             |tenant| self.broker.uses_tenant(tenant) || titles.iter().any(|(_, t)| *t == tenant),
         );
-        self.refront(config, &merged);
-        let Merged { settings, names, waits, .. } = merged;
+        self.reload_front(config, &merged);
+        let MergedSettings { settings, names, deferred, .. } = merged;
         self.timings = Timings::new(&settings, config.idle, config.connect_timeout);
         self.links.update_timings(self.timings);
-        (self.names, self.settings, self.renamed_at) = (names, settings.clone(), now);
-        self.tell(now, Input::Settings(Box::new(settings)), out);
-        waits
+        (self.names, self.settings, self.reloaded_at) = (names, settings.clone(), now);
+        self.handle_input(now, Input::Settings(Box::new(settings)), out);
+        deferred
     }
 
-    /// How the settings in use name things.
+    /// Returns the names that the settings in use define.
     pub fn names(&self) -> &SettingNames {
         &self.names
     }
 
-    /// Takes in what a new configuration says of the front and the script; what waits or plays is untouched.
-    /// Titles and a script that are watched stay as their files have them.
-    fn refront(&mut self, config: &Config, merged: &Merged) {
+    /// Applies the front and the script of a new configuration; waiting requests and playing sessions are
+    /// unaffected. Watched titles and a watched script stay as their files have them.
+    fn reload_front(&mut self, config: &Config, merged: &MergedSettings) {
         let watch = config.watch.as_ref();
         if watch.is_none_or(|w| w.script.is_none()) {
             self.hook = config.hook.as_ref().and_then(|(text, operations)| Hook::new(text, *operations).ok());
@@ -47,8 +47,8 @@
         if let (Some(whip), Some(new)) = (&mut self.whip, &config.whip) {
             let mut setup = new.setup.clone();
             for title in setup.titles.values_mut() {
-                title.class = merged.classes.get(title.class).copied().unwrap_or(title.class);
-                title.tenant = merged.tenants.get(title.tenant).copied().unwrap_or(title.tenant);
+                title.class = merged.class_numbers.get(title.class).copied().unwrap_or(title.class);
+                title.tenant = merged.tenant_numbers.get(title.tenant).copied().unwrap_or(title.tenant);
             }
             if watch.is_some_and(|w| w.lists.iter().any(|f| f.role == Role::Titles)) {
                 setup.titles = whip.titles().clone();
--- a/src/node/viewers.rs
+++ b/src/node/viewers.rs
@@ -1,6 +1,6 @@
-//! The platform's viewers: their connections, what they say, and the lines that go back to them.
+//! The platform's viewers: their messages, and the lines sent back to them.
 
-use super::{Node, named};
+use super::{Node, name_at};
 use crate::api::*;
 use crate::broker::{Effect, Input};
 use crate::message::line::Line;
@@ -9,170 +9,201 @@
 use crate::platform::links::{Command, ConnId};
 use crate::platform::viewer::{self, ViewerMessage};
 
-/// How long a release waits for a connection that it could go out on: as long as a drain may take, in which clients
-/// have none here. Late is better than never, as its client goes by it that the session plays.
-const OWED_KEPT: Micros = Micros(60_000_000);
-/// The part of the memory that they may take, and what each takes, roughly: as many may wait as sessions may be held,
-/// as all of them may end while their clients have no connection here.
-const OWED_PART: usize = 16;
-const OWED_BYTES: usize = 256;
-
-/// How many releases may wait for a connection, where there is so much memory.
-pub(super) fn owed_most(memory: usize) -> usize {
-    memory / OWED_PART / OWED_BYTES
+/// How long a session end waits for a connection to send it on: as long as a drain may take, during which
+/// clients have no connection here. A late end is better than none, as the client takes the session for
+/// playing until then.
+const PENDING_END_LIFETIME: Micros = Micros(60_000_000);
+/// Share of the memory for waiting session ends. There may be as many as sessions, as all sessions may end
+/// while their clients have no connection here.
+const PENDING_ENDS_MEMORY_DIVISOR: usize = 16;
+/// Approximate memory of one waiting session end.
+const PENDING_END_BYTES: usize = 256;
+
+/// Returns the number of session ends that may wait for a connection, for this amount of memory.
+pub(super) fn max_pending_ends(memory: usize) -> usize {
+    memory / PENDING_ENDS_MEMORY_DIVISOR / PENDING_END_BYTES
 }
 
 /// The final answer to a set-up.
-pub(super) enum Reply {
-    /// The session stands.
-    Plays(Line),
-    /// It was refused, or it failed.
-    Over(Line),
+pub(super) enum FinalAnswer {
+    /// The session is established.
+    Established(Line),
+    /// The set-up was refused or failed.
+    NotServed(Line),
 }
 
 impl Node {
-    pub(super) fn said(&mut self, now: Micros, conn: ConnId, said: ViewerMessage, out: &mut Vec<Command>) {
-        if !matches!(said, ViewerMessage::Ping(_)) {
-            self.pay_owed(now, conn, out);
+    /// Handles a message of a viewer.
+    pub(super) fn handle_viewer_message(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        message: ViewerMessage,
+        out: &mut Vec<Command>,
+    ) {
+        if !matches!(message, ViewerMessage::Ping(_)) {
+            self.send_pending_ends(now, conn, out);
         }
-        match said {
+        match message {
             ViewerMessage::Ping(id) => {
-                self.say(now, Some(conn), &viewer::pong(id, self.phase.passes(now)), out)
+                self.write_line(now, Some(conn), &viewer::pong(id, self.phase.passes_health_check(now)), out)
             }
             ViewerMessage::Release(id) => {
-                self.forget(id);
-                if self.broker.knows(id) {
-                    self.tell(now, Input::ClientLeft(id), out);
+                self.forget_session(id);
+                if self.broker.has_session(id) {
+                    self.handle_input(now, Input::ClientLeft(id), out);
                 } else {
-                    self.stray(id);
+                    self.forward_client_left(id);
                 }
             }
             ViewerMessage::SetUp(request, description) => {
                 let id = request.id;
-                if self.broker.knows(id) {
-                    return self.taken(now, conn, id, out);
+                if self.broker.has_session(id) {
+                    return self.reject_reused_id(now, conn, id, out);
                 }
-                self.homes.insert(id, conn);
+                self.session_conns.insert(id, conn);
                 if let Some(c) = self.viewers.get_mut(&conn) {
-                    c.open.insert(id);
+                    c.unanswered.insert(id);
                 }
-                self.ask(now, request, description.into_bytes().into(), out);
+                self.submit_request(now, request, description.into_bytes().into(), out);
             }
-            ViewerMessage::Unfit(id, _) if self.broker.knows(id) => self.taken(now, conn, id, out),
-            ViewerMessage::Unfit(id, class) => {
+            ViewerMessage::Invalid(id, _) if self.broker.has_session(id) => {
+                self.reject_reused_id(now, conn, id, out)
+            }
+            ViewerMessage::Invalid(id, class) => {
                 if let Some(class) = class {
-                    self.figures.asked(id, named(&self.names.classes, class));
-                    self.figures.answered(id, Outcome::Faulted);
+                    self.metrics.record_request(id, name_at(&self.names.classes, class));
+                    self.metrics.record_answer(id, Outcome::Faulted);
                 }
-                self.say(now, Some(conn), &viewer::failed(id), out);
+                self.write_line(now, Some(conn), &viewer::failed(id), out);
             }
-            ViewerMessage::Playing(request, _) if self.phase.closed() => {
-                self.carry_out(now, Effect::Ended(request.id, Status::Reset), out);
+            ViewerMessage::ExistingSession(request, _) if self.phase.is_refusing() => {
+                self.apply_effect(now, Effect::Ended(request.id, Status::Reset), out);
             }
-            ViewerMessage::Playing(request, server) => {
-                self.homes.entry(request.id).or_insert(conn);
-                self.tell(now, Input::ExistingSession(request, server.clone()), out);
+            ViewerMessage::ExistingSession(request, server) => {
+                self.session_conns.entry(request.id).or_insert(conn);
+                self.handle_input(now, Input::ExistingSession(request, server.clone()), out);
                 let before = out.len();
                 self.links.ensure_connected(now, &server, out);
-                self.dialled(now, &server, "notes", &out[before..]);
+                self.trace_dials(now, &server, "notes", &out[before..]);
             }
         }
     }
 
-    /// A connection that was to be let go stays: its client has said something.
+    /// Keeps a connection open that was about to be closed, as its client has sent something.
     pub fn keep_open(&mut self, now: Micros, conn: ConnId) {
         if let Some(c) = self.viewers.get_mut(&conn) {
-            (c.closing, c.used) = (false, now);
+            (c.is_closing, c.last_used) = (false, now);
         }
         if let Some(whip) = &mut self.whip {
             whip.keep_open(now, conn);
         }
     }
 
-    /// What waited for a connection goes out on one that has proved to be a viewer's: who only tests hears of no
-    /// sessions (seen on a day with a drain, when the front's tests were the only connections).
-    fn pay_owed(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
+    /// Sends the waiting session ends on a connection that has proved to be a viewer's. A health checker's
+    /// connection gets none: during a drain, the front's checks were once the only connections.
+    fn send_pending_ends(&mut self, now: Micros, conn: ConnId, out: &mut Vec<Command>) {
         if let Some(c) = self.viewers.get_mut(&conn) {
-            c.asked = true;
+            c.is_viewer = true;
         }
-        for (until, bytes) in std::mem::take(&mut self.owed) {
+        for (until, bytes) in std::mem::take(&mut self.pending_ends) {
             if until > now {
                 out.push(Command::WriteSessionEnd(conn, bytes));
             }
         }
     }
 
-    /// A set-up under an id that is in use. The first keeps its single answer; the sender of the second is told by
-    /// a failure, or by a close where a line with that id could mean the first.
-    pub(super) fn taken(&mut self, now: Micros, conn: ConnId, id: SessionId, out: &mut Vec<Command>) {
-        let own = self.homes.get(&id) == Some(&conn);
+    /// Handles a set-up with an id that is in use. The first set-up keeps its single answer. The second is
+    /// answered by a failure, or by closing the connection where a line with that id could be taken for the
+    /// answer to the first.
+    pub(super) fn reject_reused_id(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        id: SessionId,
+        out: &mut Vec<Command>,
+    ) {
+        let own = self.session_conns.get(&id) == Some(&conn);
         let Some(c) = self.viewers.get_mut(&conn) else { return };
-        if own || c.open.is_empty() {
-            c.repeats = true;
-            self.close_if_repeats(conn, out);
+        if own || c.unanswered.is_empty() {
+            c.has_reused_id = true;
+            self.close_after_reused_id(conn, out);
         } else {
-            self.say(now, Some(conn), &viewer::failed(id), out);
+            self.write_line(now, Some(conn), &viewer::failed(id), out);
         }
     }
 
-    /// A set-up's final answer.
-    pub(super) fn reply(
+    /// Sends the final answer to a set-up.
+    pub(super) fn send_final_answer(
         &mut self,
         now: Micros,
-        home: Option<ConnId>,
+        client_conn: Option<ConnId>,
         id: SessionId,
-        reply: &Reply,
+        answer: &FinalAnswer,
         out: &mut Vec<Command>,
     ) {
-        let home = home.filter(|conn| self.viewers.contains_key(conn));
+        let client_conn = client_conn.filter(|conn| self.viewers.contains_key(conn));
         if let Some(tracer) = &mut self.tracer {
-            tracer.replied(now, id, home);
+            tracer.reply_sent(now, id, client_conn);
         }
-        // A session that stands is marked: it ends if its client can't be told of it.
-        let (line, mark) = match reply {
-            Reply::Plays(line) => (line, Some(id)),
-            Reply::Over(line) => (line, None),
+        // The answer of an established session is marked: the session ends if its client can't be told of it.
+        let (line, mark) = match answer {
+            FinalAnswer::Established(line) => (line, Some(id)),
+            FinalAnswer::NotServed(line) => (line, None),
         };
-        self.say_marked(home, line, mark, out);
-        if mutant::on(Mutant::AnsweredTwice) {
-            self.say_marked(home, line, None, out);
+        self.write_marked_line(client_conn, line, mark, out);
+        if mutant::is_active(Mutant::AnsweredTwice) {
+            self.write_marked_line(client_conn, line, None, out);
         }
-        if let Some(conn) = home {
-            self.close_if_repeats(conn, out);
+        if let Some(conn) = client_conn {
+            self.close_after_reused_id(conn, out);
         }
     }
 
-    pub(super) fn close_if_repeats(&mut self, conn: ConnId, out: &mut Vec<Command>) {
-        if let Some(c) = self.viewers.get_mut(&conn).filter(|c| c.repeats && !c.closing && c.open.is_empty())
+    /// Closes a connection that has reused an id, once all its set-ups are answered.
+    pub(super) fn close_after_reused_id(&mut self, conn: ConnId, out: &mut Vec<Command>) {
+        if let Some(c) = self
+            .viewers
+            .get_mut(&conn)
+            .filter(|c| c.has_reused_id && !c.is_closing && c.unanswered.is_empty())
         {
-            c.closing = true;
+            c.is_closing = true;
             out.push(Command::Close(conn, "id-in-use"));
         }
     }
 
-    /// The answer to a request goes out on its connection.
-    pub(super) fn answered(&mut self, now: Micros, id: SessionId) -> Option<ConnId> {
-        let home = self.homes.get(&id).copied();
-        if let Some(c) = home.and_then(|home| self.viewers.get_mut(&home)) {
-            c.open.remove(&id);
-            c.used = now;
+    /// Marks a request as answered and returns the connection that its answer goes out on.
+    pub(super) fn settle_request(&mut self, now: Micros, id: SessionId) -> Option<ConnId> {
+        let client_conn = self.session_conns.get(&id).copied();
+        if let Some(c) = client_conn.and_then(|client_conn| self.viewers.get_mut(&client_conn)) {
+            c.unanswered.remove(&id);
+            c.last_used = now;
         }
-        home
+        client_conn
     }
 
-    pub(super) fn forget(&mut self, id: SessionId) {
-        if let Some(home) = self.homes.remove(&id)
-            && let Some(c) = self.viewers.get_mut(&home)
+    /// Drops a session from its connection.
+    pub(super) fn forget_session(&mut self, id: SessionId) {
+        if let Some(client_conn) = self.session_conns.remove(&id)
+            && let Some(c) = self.viewers.get_mut(&client_conn)
         {
-            c.open.remove(&id);
+            c.unanswered.remove(&id);
         }
     }
 
-    pub(super) fn say(&mut self, _now: Micros, conn: Option<ConnId>, line: &Line, out: &mut Vec<Command>) {
-        self.say_marked(conn, line, None, out);
+    /// Writes a line on a viewer connection, if it is still open.
+    pub(super) fn write_line(
+        &mut self,
+        _now: Micros,
+        conn: Option<ConnId>,
+        line: &Line,
+        out: &mut Vec<Command>,
+    ) {
+        self.write_marked_line(conn, line, None, out);
     }
 
-    fn say_marked(
+    /// Writes a line. The driver reports whether a line marked with a session was fully written.
+    fn write_marked_line(
         &mut self,
         conn: Option<ConnId>,
         line: &Line,
@@ -184,35 +215,44 @@
         }
     }
 
-    /// A session that stands belongs to no connection: its end goes out on its own, on any, or on the next.
-    pub(super) fn say_anywhere(
+    /// Sends the end of an established session. It belongs to no connection: its end goes out on its own
+    /// connection, any other, or the next one.
+    pub(super) fn send_session_end(
         &mut self,
         now: Micros,
-        home: Option<ConnId>,
+        client_conn: Option<ConnId>,
         line: &Line,
         out: &mut Vec<Command>,
     ) {
         if let Ok(bytes) = line.encode() {
-            self.tell_end(now, home, bytes, out);
+            self.route_session_end(now, client_conn, bytes, out);
         }
     }
 
-    fn tell_end(&mut self, now: Micros, home: Option<ConnId>, bytes: Vec<u8>, out: &mut Vec<Command>) {
-        // What is written behind the end of a connection reaches nobody.
-        let open = |conn: &ConnId| self.viewers.get(conn).is_some_and(|c| !c.closing && c.asked);
-        match home.filter(open).or_else(|| self.viewers.keys().rev().copied().find(open)) {
+    /// Writes a session end on a suitable viewer connection, or queues it until there is one.
+    fn route_session_end(
+        &mut self,
+        now: Micros,
+        client_conn: Option<ConnId>,
+        bytes: Vec<u8>,
+        out: &mut Vec<Command>,
+    ) {
+        // What is written on a closing connection reaches nobody.
+        let is_usable = |conn: &ConnId| self.viewers.get(conn).is_some_and(|c| !c.is_closing && c.is_viewer);
+        match client_conn.filter(is_usable).or_else(|| self.viewers.keys().rev().copied().find(is_usable)) {
             Some(conn) => out.push(Command::WriteSessionEnd(conn, bytes)),
             None => {
-                self.owed.push_back((now + OWED_KEPT, bytes));
-                self.owed.drain(..self.owed.len().saturating_sub(self.owed_most));
+                self.pending_ends.push_back((now + PENDING_END_LIFETIME, bytes));
+                self.pending_ends.drain(..self.pending_ends.len().saturating_sub(self.max_pending_ends));
             }
         }
     }
 
-    /// Ends of sessions that were not written whole when their connection ended: they go out on another, or on the next.
+    /// Sends session ends again that were not fully written when their connection ended: on another
+    /// connection, or on the next one.
     pub fn requeue_session_ends(&mut self, now: Micros, ends: Vec<Vec<u8>>, out: &mut Vec<Command>) {
         for bytes in ends {
-            self.tell_end(now, None, bytes, out);
+            self.route_session_end(now, None, bytes, out);
         }
     }
 }
--- a/src/operate/settings.rs
+++ b/src/operate/settings.rs
@@ -1,5 +1,5 @@
-//! New settings under requests that are under way: what is taken at once, what waits for the next start, and the
-//! table of classes, whose entries stay as they are while anything refers to them.
+//! Reload of settings while requests are in progress: which fields apply at once, which wait for the next start,
+//! and the tables of classes and tenants, whose entries stay unchanged while anything refers to them.
 
 use std::collections::BTreeSet;
 
@@ -8,25 +8,26 @@
 use crate::api::Settings;
 use crate::roster::SettingNames;
 
-/// Settings with the names that go with them, as they are to be used from now on.
+/// Settings and their names after a reload.
 #[derive(Clone, Debug)]
-pub struct Merged {
-    /// The settings; classes and tenants under the numbers of the table.
+pub struct MergedSettings {
+    /// The settings. Classes and tenants have the numbers of the tables.
     pub settings: Settings,
-    /// The names.
+    /// The names of classes, tenants, zones and kinds.
     pub names: SettingNames,
-    /// The table's number for each class of the new file.
-    pub classes: Vec<usize>,
-    /// The table's number for each tenant of the new file.
-    pub tenants: Vec<usize>,
-    /// Fields that differ and wait for the next start.
-    pub waits: Vec<&'static str>,
+    /// The number in the table for each class of the new file.
+    pub class_numbers: Vec<usize>,
+    /// The number in the table for each tenant of the new file.
+    pub tenant_numbers: Vec<usize>,
+    /// The fields that differ and take effect at the next start.
+    pub deferred: Vec<&'static str>,
 }
 
-/// Places for new entries in a table: an entry that is the same keeps its number, one that is free is taken again
-/// (no name led to it before, and nothing refers to it: what goes only now may still be asked for by requests on
-/// their way), the others go to the end. Gives the numbers, and the entries that no name leads to from now on.
-fn places(
+/// Assigns numbers in a table to new entries: an unchanged entry keeps its number, a changed or new one takes a
+/// free number or is appended. A number is free if it was retired before this reload and nothing refers to it; one
+/// that is retired only now may still be named by requests on their way. Returns the numbers and the retired ones,
+/// to which no name leads from now on.
+fn assign_numbers(
     old: usize,
     new: usize,
     same: impl Fn(usize, usize) -> bool,
@@ -35,7 +36,7 @@
     let kept: Vec<Option<usize>> = (0..new).map(|n| (0..old).find(|o| same(*o, n))).collect();
     let mut taken: BTreeSet<usize> = kept.iter().flatten().copied().collect();
     let mut end = old;
-    let mut place = |kept: &Option<usize>| {
+    let mut assign = |kept: &Option<usize>| {
         if let Some(kept) = kept {
             return *kept;
         }
@@ -44,111 +45,124 @@
         taken.insert(free);
         free
     };
-    let numbers: Vec<usize> = kept.iter().map(&mut place).collect();
+    let numbers: Vec<usize> = kept.iter().map(&mut assign).collect();
     let retired = (0..end).filter(|n| !numbers.contains(n)).collect();
     (numbers, retired)
 }
 
-/// Puts entries at their places.
-fn put<T: Clone>(old: &[T], new: &[T], numbers: &[usize]) -> Vec<T> {
+/// Returns the table with the new entries at their numbers.
+fn update_table<T: Clone>(old: &[T], new: &[T], numbers: &[usize]) -> Vec<T> {
     let mut table = old.to_vec();
     for (n, entry) in numbers.iter().zip(new) {
         if *n < table.len() {
             table[*n] = entry.clone();
         } else {
-            // Numbers beyond the end are given in order.
+            // Numbers beyond the end were assigned in order.
             table.push(entry.clone());
         }
     }
     table
 }
 
-/// Joins new settings with those in use. `in_use` says whether anything refers to a class or a tenant.
+/// Merges new settings into those in force. `class_in_use` and `tenant_in_use` return whether anything refers to
+/// the class or tenant of a number.
 pub fn merge(
     old: (&Settings, &SettingNames),
     new: (&Settings, &SettingNames),
     class_in_use: impl Fn(usize) -> bool,
     tenant_in_use: impl Fn(usize) -> bool,
-) -> Merged {
-    let ((had, named), (want, wanted)) = (old, new);
-    let mut settings = want.clone();
-    let mut waits = Vec::new();
-    // The module's books, and what servers and fronts were told, are shaped by these.
-    let shapes: [(&str, bool); 6] = [
-        ("settings.FamilyInfo.LadderKb", had.rung_kb.len() == want.rung_kb.len()),
-        ("settings.FamilyInfo.Places", had.cells == want.cells),
-        ("settings.FamilyInfo.Racks", had.racks == want.racks),
-        ("settings.Azs", named.zones == wanted.zones),
-        ("settings.Kinds", named.kinds == wanted.kinds),
-        ("settings.Discovery", had.discovery == want.discovery),
+) -> MergedSettings {
+    let ((old_settings, old_names), (new_settings, new_names)) = (old, new);
+    let mut settings = new_settings.clone();
+    let mut deferred = Vec::new();
+    // The state of the module, and what servers and clients were sent, depends on the shape of these fields.
+    let fixed_shapes: [(&str, bool); 6] = [
+        ("settings.FamilyInfo.LadderKb", old_settings.rung_kb.len() == new_settings.rung_kb.len()),
+        ("settings.FamilyInfo.Places", old_settings.cells == new_settings.cells),
+        ("settings.FamilyInfo.Racks", old_settings.racks == new_settings.racks),
+        ("settings.Azs", old_names.zones == new_names.zones),
+        ("settings.Kinds", old_names.kinds == new_names.kinds),
+        ("settings.Discovery", old_settings.discovery == new_settings.discovery),
     ];
-    waits.extend(shapes.into_iter().filter(|(_, same)| !same).map(|(field, _)| field));
-    if waits.contains(&"settings.FamilyInfo.LadderKb") {
-        (settings.rung_kb, settings.rung_worth) = (had.rung_kb.clone(), had.rung_worth.clone());
+    deferred.extend(fixed_shapes.into_iter().filter(|(_, same)| !same).map(|(field, _)| field));
+    if deferred.contains(&"settings.FamilyInfo.LadderKb") {
+        (settings.rung_kb, settings.rung_worth) =
+            (old_settings.rung_kb.clone(), old_settings.rung_worth.clone());
     }
-    (settings.cells, settings.racks, settings.discovery) = (had.cells, had.racks, had.discovery);
-    settings.kind_streams =
-        if waits.is_empty() { want.kind_streams.clone() } else { had.kind_streams.clone() };
+    (settings.cells, settings.racks, settings.discovery) =
+        (old_settings.cells, old_settings.racks, old_settings.discovery);
+    settings.kind_streams = if deferred.is_empty() {
+        new_settings.kind_streams.clone()
+    } else {
+        old_settings.kind_streams.clone()
+    };
 
     let same_class = |o: usize, n: usize| {
-        named.classes.get(o) == wanted.classes.get(n) && had.classes.get(o) == want.classes.get(n)
+        old_names.classes.get(o) == new_names.classes.get(n)
+            && old_settings.classes.get(o) == new_settings.classes.get(n)
     };
-    let (classes, retired) = places(had.classes.len(), want.classes.len(), same_class, |o| {
-        named.retired.contains(&o) && !class_in_use(o)
-    });
-    settings.classes = put(&had.classes, &want.classes, &classes);
-    // A tenant's share may change under its requests: it is not theirs but the tenant's.
-    let same_tenant = |o: usize, n: usize| named.tenants.get(o) == wanted.tenants.get(n);
-    let (tenants, retired_tenants) = places(had.tenants.len(), want.tenants.len(), same_tenant, |o| {
-        named.retired_tenants.contains(&o) && !tenant_in_use(o)
-    });
-    settings.tenants = put(&had.tenants, &want.tenants, &tenants);
+    let (class_numbers, retired_classes) =
+        assign_numbers(old_settings.classes.len(), new_settings.classes.len(), same_class, |o| {
+            old_names.retired_classes.contains(&o) && !class_in_use(o)
+        });
+    settings.classes = update_table(&old_settings.classes, &new_settings.classes, &class_numbers);
+    // The share of a tenant may change while its requests are in progress, as it belongs to the tenant, not to them.
+    let same_tenant = |o: usize, n: usize| old_names.tenants.get(o) == new_names.tenants.get(n);
+    let (tenant_numbers, retired_tenants) =
+        assign_numbers(old_settings.tenants.len(), new_settings.tenants.len(), same_tenant, |o| {
+            old_names.retired_tenants.contains(&o) && !tenant_in_use(o)
+        });
+    settings.tenants = update_table(&old_settings.tenants, &new_settings.tenants, &tenant_numbers);
     let names = SettingNames {
-        classes: put(&named.classes, &wanted.classes, &classes),
-        tenants: put(&named.tenants, &wanted.tenants, &tenants),
-        zones: named.zones.clone(),
-        kinds: named.kinds.clone(),
-        retired,
+        classes: update_table(&old_names.classes, &new_names.classes, &class_numbers),
+        tenants: update_table(&old_names.tenants, &new_names.tenants, &tenant_numbers),
+        zones: old_names.zones.clone(),
+        kinds: old_names.kinds.clone(),
+        retired_classes,
         retired_tenants,
-        lately: true,
+        recently_changed: true,
     };
-    Merged { settings, names, classes, tenants, waits }
+    MergedSettings { settings, names, class_numbers, tenant_numbers, deferred }
 }
 
-/// Keys that a class must have, as without them it would mean something else.
-const OF_A_CLASS: [&str; 4] = ["Name", "Effect", "Slo", "Deadline"];
-/// Keys that may come and go.
-const OPTIONAL: [&str; 4] = ["console", "known", "board", "seed"];
+/// The keys that a class must keep, as it would have another meaning without them.
+const REQUIRED_CLASS_KEYS: [&str; 4] = ["Name", "Effect", "Slo", "Deadline"];
+/// The keys that may appear and disappear between files.
+const OPTIONAL_KEYS: [&str; 4] = ["console", "known", "board", "seed"];
 
-/// The path of a key that the file in force has and a new one lacks: the platform writes whole files.
-pub fn missing(old: &Value, new: &Value) -> Option<String> {
-    let lacks = |old: &Value, new: &Value, path: &str| -> Option<String> {
+/// Returns the path of a key that is in the file in force but not in the new one, if there is one. Such a file is
+/// incomplete, as the platform always writes all keys.
+pub fn missing_key(old: &Value, new: &Value) -> Option<String> {
+    let missing_in = |old: &Value, new: &Value, path: &str| -> Option<String> {
         let old = old.as_object()?;
-        let gone = |key: &&String| new.get(key.as_str()).is_none_or(Value::is_null);
-        let key = old.iter().filter(|(_, v)| !v.is_null()).map(|(k, _)| k).find(gone)?;
+        let is_missing = |key: &&String| new.get(key.as_str()).is_none_or(Value::is_null);
+        let key = old.iter().filter(|(_, v)| !v.is_null()).map(|(k, _)| k).find(is_missing)?;
         Some(format!("{path}{key}"))
     };
     let mut root = old.clone();
     if let Some(root) = root.as_object_mut() {
-        OPTIONAL.iter().for_each(|key| drop(root.remove(*key)));
+        OPTIONAL_KEYS.iter().for_each(|key| drop(root.remove(*key)));
     }
-    let (had, has) = (&old["settings"], &new["settings"]);
-    let parts = ["Limits", "Rules", "FamilyInfo"];
-    let of_class = || {
-        let classes = has["RequestClasses"].as_array()?;
-        let all_had =
-            |key: &str| had["RequestClasses"].as_array().is_some_and(|c| c.iter().all(|c| !c[key].is_null()));
+    let (old_settings, new_settings) = (&old["settings"], &new["settings"]);
+    let sections = ["Limits", "Rules", "FamilyInfo"];
+    let missing_class_key = || {
+        let classes = new_settings["RequestClasses"].as_array()?;
+        let all_had = |key: &str| {
+            old_settings["RequestClasses"].as_array().is_some_and(|c| c.iter().all(|c| !c[key].is_null()))
+        };
         classes.iter().enumerate().find_map(|(i, class)| {
-            let key = OF_A_CLASS.iter().find(|key| class[**key].is_null() && all_had(key))?;
+            let key = REQUIRED_CLASS_KEYS.iter().find(|key| class[**key].is_null() && all_had(key))?;
             Some(format!("settings.RequestClasses[{i}].{key}"))
         })
     };
-    lacks(&root, new, "")
-        .or_else(|| lacks(had, has, "settings."))
+    missing_in(&root, new, "")
+        .or_else(|| missing_in(old_settings, new_settings, "settings."))
         .or_else(|| {
-            parts.iter().find_map(|part| lacks(&had[*part], &has[*part], &format!("settings.{part}.")))
+            sections.iter().find_map(|section| {
+                missing_in(&old_settings[*section], &new_settings[*section], &format!("settings.{section}."))
+            })
         })
-        .or_else(of_class)
+        .or_else(missing_class_key)
 }
 
 #[cfg(test)]
@@ -158,9 +172,9 @@
     use super::*;
     use crate::api::{Class, Idempotency, Micros, Tenant};
 
-    fn of(classes: &[(&str, Idempotency)], tenants: &[&str]) -> (Settings, SettingNames) {
+    fn settings_with(classes: &[(&str, Idempotency)], tenants: &[&str]) -> (Settings, SettingNames) {
         let mut settings = Settings::new(vec![1.0], vec![1.0]);
-        let class = |(_, effect): &(&str, Idempotency)| Class::new(Micros(1), Micros(2), *effect);
+        let class = |(_, idempotency): &(&str, Idempotency)| Class::new(Micros(1), Micros(2), *idempotency);
         settings.classes = classes.iter().map(class).collect();
         settings.tenants = tenants.iter().map(|_| Tenant { quota_per_s: Some(1.0) }).collect();
         let names = SettingNames {
@@ -171,41 +185,52 @@
         (settings, names)
     }
 
-    fn merged(old: &(Settings, SettingNames), new: &(Settings, SettingNames), in_use: &[usize]) -> Merged {
+    fn merged(
+        old: &(Settings, SettingNames),
+        new: &(Settings, SettingNames),
+        in_use: &[usize],
+    ) -> MergedSettings {
         merge((&old.0, &old.1), (&new.0, &new.1), |n| in_use.contains(&n), |n| in_use.contains(&n))
     }
 
-    /// Guards against a stricter effect that holds for requests that were taken under the old one, and the other
-    /// way round.
+    /// Guards against requests whose idempotency changes after they were accepted, to a stricter or to a laxer one.
     #[test]
-    fn a_class_that_changes_or_goes_keeps_its_entry_while_it_is_in_use() {
-        let old = of(&[("paid", Idempotency::Unsafe), ("clip", Idempotency::Safe)], &["home"]);
-        let new = of(
+    fn keeps_the_entry_of_a_changed_or_removed_class_while_in_use() {
+        let old = settings_with(&[("paid", Idempotency::Unsafe), ("clip", Idempotency::Safe)], &["home"]);
+        let new = settings_with(
             &[("clip", Idempotency::Unsafe), ("paid", Idempotency::Unsafe), ("new", Idempotency::Safe)],
             &["lee", "home"],
         );
         let got = merged(&old, &new, &[0, 1]);
-        assert_eq!(got.classes, [2, 0, 3]);
-        assert_eq!(got.settings.classes[1].idempotency, Idempotency::Safe, "under way");
-        let named = |name: &str| got.names.class(name);
-        assert_eq!((named("clip"), named("paid"), named("new")), (Some(2), Some(0), Some(3)));
-        assert_eq!(got.tenants, [1, 0]);
-        let gone = merged(&(got.settings, got.names), &of(&[("new", Idempotency::Safe)], &["home"]), &[0]);
-        assert_eq!((gone.names.class("paid"), gone.names.class("new")), (Some(0), Some(3)), "on their way");
-        let names = SettingNames { lately: false, ..gone.names };
+        assert_eq!(got.class_numbers, [2, 0, 3]);
+        assert_eq!(got.settings.classes[1].idempotency, Idempotency::Safe, "requests are in progress");
+        let number = |name: &str| got.names.class(name);
+        assert_eq!((number("clip"), number("paid"), number("new")), (Some(2), Some(0), Some(3)));
+        assert_eq!(got.tenant_numbers, [1, 0]);
+        let gone = merged(
+            &(got.settings, got.names),
+            &settings_with(&[("new", Idempotency::Safe)], &["home"]),
+            &[0],
+        );
+        assert_eq!(
+            (gone.names.class("paid"), gone.names.class("new")),
+            (Some(0), Some(3)),
+            "requests may be on their way"
+        );
+        let names = SettingNames { recently_changed: false, ..gone.names };
         assert_eq!((names.class("paid"), names.class("new")), (None, Some(3)));
         assert_eq!(gone.settings.classes.len(), 4);
     }
 
-    /// Guards against a table that grows with every file.
+    /// Guards against a table that grows with every reload.
     #[test]
-    fn entries_that_nothing_refers_to_are_taken_again() {
-        let mut now = of(&[("paid", Idempotency::Unsafe)], &["home"]);
+    fn reuses_retired_entries_that_nothing_refers_to() {
+        let mut now = settings_with(&[("paid", Idempotency::Unsafe)], &["home"]);
         for n in 0..1000 {
             let (a, b) = (format!("c{n}"), format!("t{n}"));
             let got = merged(
                 &now,
-                &of(&[("paid", Idempotency::Unsafe), (&a, Idempotency::Safe)], &["home", &b]),
+                &settings_with(&[("paid", Idempotency::Unsafe), (&a, Idempotency::Safe)], &["home", &b]),
                 &[0],
             );
             now = (got.settings, got.names);
@@ -215,24 +240,24 @@
     }
 
     #[test]
-    fn a_file_that_lacks_a_key_of_the_one_in_force_is_not_whole() {
+    fn reports_a_key_that_the_new_file_lacks() {
         let class = json!({"Name": "paid", "Effect": "read_like", "Slo": 1, "Deadline": 2});
         let old = json!({"name": "n", "listen": "x", "known": {}, "limits": {"sockets": 1},
             "settings": {"Fees": {}, "Limits": {"AttemptsCap": 4}, "RequestClasses": [class]}});
-        assert_eq!(missing(&old, &old), None);
+        assert_eq!(missing_key(&old, &old), None);
         let without = |path: &str, key: &str| {
             let mut new = old.clone();
             new.pointer_mut(path).unwrap().as_object_mut().unwrap().remove(key);
-            missing(&old, &new)
+            missing_key(&old, &new)
         };
-        for (path, key, told) in [
+        for (path, key, expected) in [
             ("", "limits", "limits"),
             ("", "settings", "settings"),
             ("/settings", "Fees", "settings.Fees"),
             ("/settings/Limits", "AttemptsCap", "settings.Limits.AttemptsCap"),
             ("/settings/RequestClasses/0", "Effect", "settings.RequestClasses[0].Effect"),
         ] {
-            assert_eq!(without(path, key).as_deref(), Some(told));
+            assert_eq!(without(path, key).as_deref(), Some(expected));
         }
         assert_eq!(without("", "known"), None);
     }
--- a/src/trace/known.rs
+++ b/src/trace/known.rs
@@ -1,49 +1,57 @@
-//! What is remembered of sessions and servers, and the words for it.
+//! The state that the tracer keeps of sessions and servers, and its representation in events.
 
 use crate::api::{Micros, ServerId, SessionId, Status};
 
-/// What is known of a session that is told.
+/// The state of a traced session.
 #[derive(Debug)]
-pub(super) struct Traced {
-    pub(super) asked: Micros,
+pub(super) struct TracedSession {
+    pub(super) received_at: Micros,
     pub(super) top: u64,
     pub(super) rung: u64,
     pub(super) attempts: u64,
-    /// Where the attempt that is out went, and when.
-    pub(super) out: Option<(ServerId, Micros)>,
-    /// How the last attempt ended.
-    pub(super) last: &'static str,
-    /// Where it plays.
-    pub(super) stands: Option<ServerId>,
+    /// The server of the current attempt and when its set-up was sent.
+    pub(super) attempt: Option<(ServerId, Micros)>,
+    /// The outcome of the last attempt.
+    pub(super) last_status: &'static str,
+    /// The server on which the session plays.
+    pub(super) server: Option<ServerId>,
 }
 
-/// What is known of a listed server.
+/// The state of a server in the list.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Known {
-    pub(super) heard: Option<Micros>,
-    pub(super) up: Option<Micros>,
+pub(super) struct KnownServer {
+    pub(super) last_heard: Option<Micros>,
+    pub(super) up_since: Option<Micros>,
     pub(super) zone: u32,
 }
 
-impl Traced {
-    /// A request that has just come.
-    pub(super) fn asked(now: Micros, top: u64) -> Traced {
-        Traced { asked: now, top, rung: 0, attempts: 0, out: None, last: "unsent", stands: None }
+impl TracedSession {
+    /// Creates the state of a request that was received now.
+    pub(super) fn new(now: Micros, top: u64) -> TracedSession {
+        TracedSession {
+            received_at: now,
+            top,
+            rung: 0,
+            attempts: 0,
+            attempt: None,
+            last_status: "unsent",
+            server: None,
+        }
     }
 
-    /// How its last attempt ended.
+    /// Returns the outcome of the last attempt for the final answer.
     pub(super) fn reason(&self) -> String {
-        if self.out.is_some() { "given-up".to_owned() } else { self.last.to_owned() }
+        if self.attempt.is_some() { "given-up".to_owned() } else { self.last_status.to_owned() }
     }
 }
 
-/// Whole milliseconds.
-pub(super) fn ms(span: Micros) -> u64 {
+/// Returns a time span in whole milliseconds.
+pub(super) fn whole_ms(span: Micros) -> u64 {
     span.0 / 1000
 }
 
-/// The word for how an attempt or a session ended.
-pub(super) fn word(status: Status) -> &'static str {
+/// Returns the name of the outcome of an attempt or a session.
+pub(super) fn status_name(status: Status) -> &'static str {
     match status {
         Status::Completed => "completed",
         Status::Errored => "error",
@@ -56,7 +64,7 @@
     }
 }
 
-/// A session's id as on the wire.
-pub(super) fn named(id: SessionId) -> String {
+/// Returns a session's identifier as it is written on the wire.
+pub(super) fn id_text(id: SessionId) -> String {
     format!("{:016x}", id.0)
 }
--- a/src/whip/mod.rs
+++ b/src/whip/mod.rs
@@ -241,7 +241,7 @@
         }
         c.used = now;
         c.decoder.feed(bytes);
-        if c.waits.is_some() && c.decoder.held() > MOST_AHEAD {
+        if c.waits.is_some() && c.decoder.buffered_bytes() > MOST_AHEAD {
             return out.push(FrontAction::Close(conn, "too-far-ahead"));
         }
         self.requests(now, conn, nothing_ran, out);
@@ -262,14 +262,14 @@
                     self.request(now, conn, request, nothing_ran, out);
                 }
                 Ok(None) => {
-                    if c.decoder.expects(LONGEST_OFFER) {
+                    if c.decoder.take_expect_continue(LONGEST_OFFER) {
                         out.push(FrontAction::Write(
                             conn,
                             [b"HTTP/1.1 100 Continue\r\n\r\n".to_vec(), Vec::new()],
                             None,
                         ));
                     }
-                    c.begun = if c.decoder.begun() { c.begun.or(Some(now)) } else { None };
+                    c.begun = if c.decoder.has_partial_request() { c.begun.or(Some(now)) } else { None };
                     return;
                 }
                 Err(error) => {
@@ -672,7 +672,7 @@
     /// Failed.
     pub fn failed(&mut self, now: Micros, id: SessionId, why: Failure, out: &mut Vec<FrontAction>) {
         let Some(session) = self.sessions.remove(&id) else { return };
-        let status = if why.deadline { 504 } else { 502 };
+        let status = if why.deadline_passed { 504 } else { 502 };
         if let Some(key) = session.booking {
             if why.may_have_run {
                 self.spend(now, &key, Stage::Failed(status));
@@ -680,7 +680,7 @@
                 self.bookings.remove(&key);
             }
         }
-        let code = if why.deadline { "out-of-time" } else { "failed" };
+        let code = if why.deadline_passed { "out-of-time" } else { "failed" };
         let response = Response::problem(status, code, "the set-up failed");
         self.tell_all(id, &session.waiters, &response, None, out);
     }
@@ -780,7 +780,7 @@
         nothing_ran: &dyn Fn(SessionId) -> bool,
         out: &mut Vec<FrontAction>,
     ) {
-        let behind = |c: &Conn| c.waits.is_none() && !c.closing && c.decoder.held() > 0;
+        let behind = |c: &Conn| c.waits.is_none() && !c.closing && c.decoder.buffered_bytes() > 0;
         let ready: Vec<ConnId> = self.conns.iter().filter(|(_, c)| behind(c)).map(|(id, _)| *id).collect();
         for conn in ready {
             self.requests(now, conn, nothing_ran, out);
